--- a/tests/test_fault_script.py
+++ b/tests/test_fault_script.py
@@ -101,7 +101,7 @@
             assert balancer.response(asked) == b"done"
             node.process.send_signal(signal.SIGUSR1)
             time.sleep(0.4)
-        node.wait_for_log("standstill: the clock or a timer was late")
+        node.wait_for_log("process stalled: the clock jumped or a timer fired late")
         assert "a fault in the program" not in node.log.read_text()  # of a signal that is not the node's own
 
 
