--- a/spindlerelay/api/__init__.py
+++ b/spindlerelay/api/__init__.py
@@ -1,6 +1,7 @@
-"""What the admission controller takes in and gives back: settings, events and actions.
+"""Interface of the admission controller: its settings, the events it receives and the actions it returns.
 
-Pure values. The other packages use ``from spindlerelay import api``; the settings parser is not loaded here.
+All types are pure values. Other packages use ``from spindlerelay import api``. The settings parser is not
+imported here.
 """
 
 from spindlerelay.api.actions import (
--- a/spindlerelay/api/actions.py
+++ b/spindlerelay/api/actions.py
@@ -1,6 +1,6 @@
-"""Actions that the admission controller decides on, in the order in which the server carries them out.
+"""Actions that the admission controller returns, and that the server carries out in the given order.
 
-Values only: what carries them out is the server's. Times are in milliseconds; ``id`` is that of a request.
+This module holds values only. Times are in milliseconds. ``id`` is the identifier of a request.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CancelRun(NamedTuple):
-    """Stop a run, as ``Settings.cancellation`` says; an illegal action where that is NONE."""
+    """Cancel a run as ``Settings.cancellation`` defines it. The action is illegal if that is NONE."""
 
     id: int
 
@@ -24,9 +24,9 @@
     """Reject a request that never ran.
 
     Attributes:
-        id: of the request, which is over with this.
-        retry_after_ms: for how long its caller is asked to stay away; 0 for no advice.
-        do_not_retry: whether its caller is asked not to try another server either.
+        id: identifier of the request, which is over after this action.
+        retry_after_ms: time for which the caller is asked not to retry at this server; 0 for no advice.
+        do_not_retry: whether the caller is asked not to retry at another server either.
     """
 
     id: int
@@ -35,39 +35,39 @@
 
 
 class Fail(NamedTuple):
-    """Answer a request with an error now; its run may go on."""
+    """Answer a request with an error now. Its run may continue."""
 
     id: int
 
 
 class CallDependency(NamedTuple):
-    """Make the dependency call that a run waits for, and abandon it after ``timeout_ms``."""
+    """Make the dependency call that a run waits for, and abandon the call after ``timeout_ms``."""
 
     id: int
     timeout_ms: float
 
 
 class SkipDependencyCall(NamedTuple):
-    """Continue a run without its dependency call, for a response of partial value."""
+    """Continue a run without its dependency call, so that it gives a partial response."""
 
     id: int
 
 
 class CacheResult(NamedTuple):
-    """Keep the result of a request for ``ttl_ms`` from now, so that its repeats are recognised."""
+    """Cache the result of a request for ``ttl_ms`` from now on, so that its repeats are recognised."""
 
     id: int
     ttl_ms: float
 
 
 class EvictResult(NamedTuple):
-    """Drop the cached result of a request."""
+    """Evict the cached result of a request."""
 
     id: int
 
 
 class RespondFromCache(NamedTuple):
-    """Answer a repeat with the result of its original, as soon as there is one."""
+    """Answer a repeat with the result of its original request, as soon as the result exists."""
 
     id: int
 
@@ -76,8 +76,8 @@
     """Set the answer to health checks.
 
     Attributes:
-        healthy: what they are answered from now on.
-        answered_from_cache: whether without doing any work for it.
+        healthy: answer to health checks from now on.
+        answered_from_cache: whether health checks are answered without any other work.
     """
 
     healthy: bool
@@ -85,13 +85,13 @@
 
 
 class PublishLoad(NamedTuple):
-    """Send ``load`` with every answer from now on; ``Settings.load_signal`` says what it means."""
+    """Send ``load`` with every response from now on. ``Settings.load_signal`` defines its meaning."""
 
     load: float
 
 
 class SetIdleTimeout(NamedTuple):
-    """Close connections that are unused for ``timeout_ms``."""
+    """Close connections that have been unused for ``timeout_ms``."""
 
     timeout_ms: float
 
--- a/spindlerelay/api/events.py
+++ b/spindlerelay/api/events.py
@@ -1,6 +1,7 @@
-"""Events that the admission controller takes in, and the state that it reports.
+"""Events that the admission controller receives, and the state that it reports.
 
-Values only. Times are in milliseconds, sizes in kilobytes; ``id`` is that of a request.
+This module holds values only. Times are in milliseconds, sizes in kilobytes. ``id`` is the identifier of a
+request.
 """
 
 from __future__ import annotations
@@ -12,10 +13,10 @@
 
 
 class Outcome(Enum):
-    """How a run or a dependency call ended.
+    """Outcome of a run or a dependency call.
 
-    OVERLOADED, CONNECT_FAILED and NEVER_STARTED prove that it had no effect; ERROR, TIMEOUT, RESET and
-    CANCELLED leave that open.
+    OVERLOADED, CONNECT_FAILED and NEVER_STARTED prove that the run or call had no effect. After ERROR,
+    TIMEOUT, RESET and CANCELLED it is unknown whether there was an effect.
     """
 
     OK = "ok"
@@ -32,22 +33,22 @@
 
 
 class RequestReceived(NamedTuple):
-    """A request has been read; it is queued until an action decides on it.
+    """A request has been read. It is queued until an action decides on it.
 
     Attributes:
-        id: of the request.
-        class_index: into ``Settings.classes``.
-        read_delay_ms: for how long it lay unread since it arrived.
-        remaining_ms: for how long its caller still waits; 0 if unknown.
-        resource_key: subject of the request, shared by all requests for it; 0 if there is none.
-        original_id: of the request that it repeats, or whose result it may share; 0 for none.
-        criticality: from 0 to below 1; what LoadSignal.LEVEL is compared with.
-        queued_memory_kb: that it takes while it is queued.
-        tenant_index: into ``Settings.tenant_names``.
+        id: identifier of the request.
+        class_index: index of the request class in ``Settings.classes``.
+        read_delay_ms: time between the arrival of the request and its reading.
+        remaining_ms: time for which the caller still waits; 0 if unknown.
+        resource_key: key of the requested resource, equal for all requests for it; 0 if there is none.
+        original_id: identifier of the request that this one repeats or whose result it may share; 0 if none.
+        criticality: number from 0 to below 1 that callers compare with the load value of LoadSignal.LEVEL.
+        queued_memory_kb: memory that the request takes while it is queued.
+        tenant_index: index of the tenant in ``Settings.tenant_names``.
         cost_hint_ms: expected core time on a standard core; 0 if unknown.
-        is_retry: whether it is marked as a retry.
-        is_write: whether it is a write.
-        caller_id: of the caller that sent it.
+        is_retry: whether the request is marked as a retry.
+        is_write: whether the request is a write.
+        caller_id: identifier of the caller that sent the request.
     """
 
     id: int
@@ -66,7 +67,7 @@
 
 
 class RunCompleted(NamedTuple):
-    """A run, or an answer from the cache, has ended after ``duration_ms``."""
+    """A run, or a response from the cache, has ended after ``duration_ms``."""
 
     id: int
     outcome: Outcome
@@ -74,18 +75,18 @@
 
 
 class CallerDisconnected(NamedTuple):
-    """The caller of a request has stopped waiting for it."""
+    """The caller of a request has stopped waiting for the response."""
 
     id: int
 
 
 class DependencyCallRequested(NamedTuple):
-    """A run waits at a call for ``CallDependency``, ``SkipDependencyCall`` or ``Fail``.
+    """A run needs a dependency call and waits for ``CallDependency``, ``SkipDependencyCall`` or ``Fail``.
 
     Attributes:
-        id: of the request.
-        partial_response_weight: fraction of the value that a response without this call has; negative if
-            that of the class applies.
+        id: identifier of the request.
+        partial_response_weight: value of a response without this call, as a fraction of the value of a full
+            response; negative if the fraction of the class applies.
     """
 
     id: int
@@ -101,20 +102,23 @@
 
 
 class DrainStarted(NamedTuple):
-    """The server is to drain; its process is stopped after ``remaining_ms``."""
+    """The server starts to drain. Its process is stopped after ``remaining_ms``."""
 
     remaining_ms: float
 
 
 class TimerFired(NamedTuple):
-    """A timer has fired; ``gauges`` are the present values, in the order of ``Settings.gauges``."""
+    """A timer has fired. ``gauges`` are the current values, in the order of ``Settings.gauges``."""
 
     token: int
     gauges: tuple[float, ...] = ()
 
 
 class SettingsChanged(NamedTuple):
-    """The classes have changed: each keeps its index, added ones come after. All else is as it was."""
+    """The request classes have changed. Existing classes keep their index, new classes follow them.
+
+    All other settings are unchanged.
+    """
 
     settings: Settings
 
@@ -132,12 +136,12 @@
 
 
 class ControllerStatus(NamedTuple):
-    """What a controller has measured of its server, for health reports.
+    """Measurements of the controller for health reports.
 
     Attributes:
-        queue_utilization: part of the queue's room that is taken, for the class with the least room; at 1 its
-            next request is rejected.
-        mean_core_ms: core time of a run on average; 0 before enough have ended.
+        queue_utilization: fraction of the allowed waiting time that the queue takes, for the class that
+            allows the shortest wait; at 1 the next request of that class is rejected.
+        mean_core_ms: mean core time of a run; 0 before enough runs have ended for a mean.
         self_ejected: whether the server has removed itself from the endpoint list.
     """
 
@@ -147,13 +151,16 @@
 
 
 class LearnedState(NamedTuple):
-    """What a controller has learned that may outlive its process; whoever stores it ages and bounds it.
+    """State that a controller has learned and that may outlive its process.
+
+    The code that stores and restores the state decays it by its age and limits it to valid ranges.
 
     Attributes:
-        concurrency_limit: of runs.
-        mean_call_ms: of dependency calls.
-        requests_by_tenant: decaying counts by tenant index.
-        class_statistics: decaying windows by class index, in the controller's own order.
+        concurrency_limit: limit of concurrent runs.
+        mean_call_ms: mean time of dependency calls.
+        requests_by_tenant: decaying request counts, by tenant index.
+        class_statistics: values of the decaying windows, by class index and in the order that the controller
+            defines.
     """
 
     concurrency_limit: float
--- a/spindlerelay/api/settings.py
+++ b/spindlerelay/api/settings.py
@@ -1,7 +1,7 @@
-"""Settings of one server: classes of request, tenants, limits and costs.
+"""Settings of one server: request classes, tenants, limits and costs.
 
-Owns the types only; ``settings_parser`` reads them from the wire's words. Times are in milliseconds, sizes in
-kilobytes, weights and fractions without unit.
+This module owns the types only; ``settings_parser`` parses them from the external format. Times are in
+milliseconds and sizes in kilobytes; weights and fractions have no unit.
 """
 
 from __future__ import annotations
@@ -12,10 +12,12 @@
 
 
 class Idempotency(Enum):
-    """Whether a request may be run again.
+    """Defines whether a request may be run again.
 
-    IDEMPOTENT: at any time. KEYED: repeats carry an idempotency key and are answered from the first run.
-    NON_IDEMPOTENT: never.
+    Attributes:
+        IDEMPOTENT: the request may be run again at any time.
+        KEYED: repeats carry an idempotency key and are answered with the result of the first run.
+        NON_IDEMPOTENT: the request must not be run again.
     """
 
     IDEMPOTENT = "safe"
@@ -24,10 +26,12 @@
 
 
 class DependencyTopology(Enum):
-    """What a running request may call.
+    """Kind of dependency that a run may call.
 
-    NONE: nothing. SHARED: a dependency that all servers share, within a budget. TIER: servers of the next
-    tier, which limit their own load.
+    Attributes:
+        NONE: runs call no dependency.
+        SHARED: runs call a dependency that all servers share, within a budget.
+        TIER: runs call servers of the next tier, which limit their own load.
     """
 
     NONE = "none"
@@ -36,7 +40,13 @@
 
 
 class CancellationMode(Enum):
-    """What cancelling a run does with its progress: cannot be cancelled, is lost, or is kept for later."""
+    """Effect of a cancellation on a run.
+
+    Attributes:
+        NONE: runs cannot be cancelled.
+        DROP: the progress of the run is lost.
+        PAUSE: the progress of the run is kept, and the run can be resumed.
+    """
 
     NONE = "none"
     DROP = "drop"
@@ -44,11 +54,13 @@
 
 
 class LoadSignal(Enum):
-    """What callers take the published load value to mean.
+    """Meaning of the published load value for callers.
 
-    NONE: no value is published. LEVEL: requests whose criticality is below it are not sent here. CREDIT: how
-    many requests one caller may have open here. WEIGHT: the probability with which a caller does not skip
-    this server.
+    Attributes:
+        NONE: no load value is published.
+        LEVEL: callers do not send requests whose criticality is below the value to this server.
+        CREDIT: the value is the number of requests that one caller may have open at this server.
+        WEIGHT: the value is the probability with which a caller does not skip this server.
     """
 
     NONE = "none"
@@ -58,19 +70,21 @@
 
 
 class ClassSettings(NamedTuple):
-    """One class of request.
+    """Settings of one request class.
 
     Attributes:
-        latency_objective_ms: from a request's first attempt; a later response is late.
-        deadline_ms: for how long the client waits, over all attempts.
+        latency_objective_ms: time from the first attempt of a request, after which a response is late.
+        deadline_ms: time for which the client waits for a response, over all attempts.
         priority_weight: value of a response in time.
-        late_response_weight: fraction of it that a late response is worth.
+        late_response_weight: value of a late response, as a fraction of ``priority_weight``.
         idempotency: whether a request may be run again.
-        idempotency_window_ms: for how long repeats of a keyed request are recognised, from its arrival.
-        calls_dependency: whether its runs may call the dependency.
-        partial_response_weight: fraction of the value that a response without its call has.
-        latency_objective_stretch: ms added to the objective for each ms of a request's own work.
-        name: of the class; empty if it has none.
+        idempotency_window_ms: time from the arrival of a keyed request for which its repeats are recognised.
+        calls_dependency: whether runs of the class may call the dependency.
+        partial_response_weight: value of a response without the dependency call, as a fraction of the value
+            of a full response.
+        latency_objective_stretch: milliseconds added to the latency objective for each millisecond of the
+            cost hint of a request.
+        name: name of the class; empty if it has none.
     """
 
     latency_objective_ms: float
@@ -87,36 +101,37 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All that a server is configured with at its start. A default changes nothing.
+    """Settings of a server at its start. A setting that is left at its default has no effect.
 
     Attributes:
-        cores: of this server, at least 1.
-        classes: of request; events name them by their index.
-        tenant_names: by tenant index.
-        tenant_quotas_per_s: requests per second by tenant index, for all servers together.
+        cores: number of cores of this server, at least 1.
+        classes: request classes; events refer to a class by its index.
+        tenant_names: names of the tenants, by tenant index.
+        tenant_quotas_per_s: quotas in requests per second for all servers together, by tenant index.
         over_quota_weight: factor on the priority weight of requests over their tenant's quota.
-        server_count: of the fleet.
-        caller_count: callers of this server.
-        weighted_by_work: whether priority weights count per work rather than per request.
-        memory_kb: for all requests; 0 if unbounded.
-        run_memory_factor: memory of a running request over that of a queued one.
+        server_count: number of servers of the fleet.
+        caller_count: number of callers of this server.
+        weighted_by_work: whether a priority weight is a value per unit of work instead of per request.
+        memory_kb: memory for all requests; 0 if unbounded.
+        run_memory_factor: memory of a running request, divided by the memory of the same request when queued.
         idempotency_entry_kb: memory of one cached result.
-        cache_ttl_ms: for how long the result of a read is fresh; 0 if reads are not shared.
-        cancellation: of runs.
-        load_signal: what is published.
-        caller_idle_timeout_ms: after which callers close an unused connection; 0 if unknown.
-        dependency_topology: what runs may call.
-        dependency_call_budget: this server's part of the mean number of calls that the dependency survives.
-        dependency_call_window_ms: over which that budget is averaged.
-        abandoned_call_ms: for how long at most an abandoned call stays open at the dependency.
+        cache_ttl_ms: time for which the result of a read is fresh; 0 if results of reads are not shared.
+        cancellation: effect of a cancellation on a run.
+        load_signal: meaning of the published load value.
+        caller_idle_timeout_ms: time after which callers close an unused connection; 0 if unknown.
+        dependency_topology: kind of dependency that runs may call.
+        dependency_call_budget: this server's part of the mean number of concurrent calls that the dependency
+            survives.
+        dependency_call_window_ms: time over which the number of concurrent calls is averaged.
+        abandoned_call_ms: longest time for which an abandoned call stays open at the dependency.
         cold_start: whether the server has just started and runs below its full speed.
-        cold_speed_fraction: least speed at the start over the full speed.
+        cold_speed_fraction: minimum speed at the start, as a fraction of the full speed.
         warm_up_ms: longest time from the start to full speed.
-        max_concurrency_per_core: runs per core that the server survives; 0 if unbounded.
-        drain_grace_ms: for how long a draining server still admits requests.
-        max_retry_after_ms: most that a rejection may ask a caller to wait; 0 if it may not.
-        tick_ms: least time between two steps.
-        gauges: names of the values in ``TimerFired``, in their order.
+        max_concurrency_per_core: number of concurrent runs per core that the server survives; 0 if unbounded.
+        drain_grace_ms: time for which a draining server still admits requests.
+        max_retry_after_ms: longest wait that a rejection may advise; 0 if rejections give no such advice.
+        tick_ms: minimum time between two steps.
+        gauges: names of the gauges in ``TimerFired.gauges``, in the same order.
     """
 
     cores: int
