--- a/spindlerelay/simulator/__init__.py
+++ b/spindlerelay/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire, and the host of decision modules on it."""
+"""Binary protocol of the simulator, and the host that runs admission controllers behind it."""
--- a/spindlerelay/simulator/codec.py
+++ b/spindlerelay/simulator/codec.py
@@ -1,8 +1,9 @@
-"""Codec of the simulator's binary frames: pure translation, no decisions.
+"""Codec of the binary frames of the simulator protocol. The codec makes no decisions.
 
-A frame is a header, with the number of its records and the size of what follows, and then records of a code,
-a size and fields; those of a batch stand after the clock. All is little-endian. Each code has its name on the
-wire beside it. Depends on the api's types only.
+A frame starts with a header, which holds the number of records and the size of the payload. The payload holds
+the records, each with a code, a size and its fields. In a batch, the clock precedes the records. All numbers
+are little-endian. The comment beside a code is the protocol's name of the record. This module depends only on
+the types of ``spindlerelay.api``.
 """
 
 from __future__ import annotations
@@ -14,15 +15,20 @@
 from spindlerelay import api
 from spindlerelay.errors import SpindlerelayError
 
-MAX_TEXT_BYTES = 65535  # of a log line or a fault; what is longer is cut
+MAX_TEXT_BYTES = 65535  # longer log lines and fault texts are truncated
 
 
 class MalformedFrameError(SpindlerelayError):
-    """A frame that cannot be read."""
+    """A frame does not follow the protocol."""
 
 
 class UnknownCodeError(MalformedFrameError):
-    """A code that the wire does not have. ``kind`` says of what."""
+    """A code is not defined by the protocol.
+
+    Attributes:
+        kind: name of what the code identifies, such as ``outcome``.
+        code: code that was received.
+    """
 
     def __init__(self, kind: str, code: int) -> None:
         super().__init__(f"unknown {kind} {code}")
@@ -31,30 +37,45 @@
 
 
 class RecordSizeError(MalformedFrameError):
-    """A record whose fields have another size than those of its code, in bytes."""
+    """The fields of a record do not have the size that its code requires.
+
+    Attributes:
+        received: size of the received fields in bytes.
+        expected: size that the code requires in bytes.
+    """
 
     def __init__(self, received: int, expected: int) -> None:
-        super().__init__(f"record holds {received} bytes of fields where {expected} are due")
+        super().__init__(f"record has {received} bytes of fields, expected {expected}")
         self.received = received
         self.expected = expected
 
 
 class InstanceStarted(NamedTuple):
-    """A process of an instance starts, with its seed and its settings in lines of ``name=value``."""
+    """The process of an instance starts.
+
+    Attributes:
+        seed: seed of the admission controller.
+        settings_text: settings in lines of ``key=value``.
+    """
 
     seed: int
     settings_text: str
 
 
 class InstanceCrashed(NamedTuple):
-    """The process of an instance has died; all of its state is void."""
+    """The process of an instance has crashed. All state of the instance is lost."""
 
 
 WireEvent = InstanceStarted | InstanceCrashed | api.Event
 
 
 class Batch(NamedTuple):
-    """One frame: the clock in ms, and its events, each with the number of its instance."""
+    """One frame of input.
+
+    Attributes:
+        now_ms: time of the simulator's clock.
+        events: pairs of an instance number and an event of that instance.
+    """
 
     now_ms: float
     events: list[tuple[int, WireEvent]]
@@ -70,7 +91,7 @@
     306: api.Outcome.CANCELLED,
     307: api.Outcome.NEVER_STARTED,
 }
-_HEADER = struct.Struct("<II")  # number of records, size of the rest
+_HEADER = struct.Struct("<II")  # number of records, size of the payload
 _CLOCK = struct.Struct("<d")
 _RECORD = struct.Struct("<BI")  # code, size of the fields
 _INSTANCE = struct.Struct("<I")
@@ -117,7 +138,7 @@
     (
         instance,
         request_id,
-        bits,
+        flags,
         read_delay_ms,
         resource_key,
         class_index,
@@ -139,32 +160,34 @@
         criticality,
         queued_memory_kb,
         tenant_index,
-        cost_ms if bits & _HAS_COST_HINT else 0.0,
-        bool(bits & _IS_RETRY),
-        bool(bits & _IS_WRITE),
+        cost_ms if flags & _HAS_COST_HINT else 0.0,
+        bool(flags & _IS_RETRY),
+        bool(flags & _IS_WRITE),
         caller_id,
     )
 
 
 def _decode_timer(body: bytes) -> tuple[int, WireEvent]:
     if len(body) < _TIMER.size:
-        raise MalformedFrameError("timer record is too short")
+        raise MalformedFrameError(f"timer record has {len(body)} bytes, expected at least {_TIMER.size}")
     instance, token, count = _TIMER.unpack_from(body)
     if len(body) != _TIMER.size + 4 * count:
-        raise MalformedFrameError("timer record does not match its gauge count")
+        raise MalformedFrameError(f"timer record has {len(body)} bytes, which does not match {count} gauges")
     return instance, api.TimerFired(token, struct.unpack_from(f"<{count}f", body, _TIMER.size))
 
 
 def _decode_start(body: bytes) -> tuple[int, WireEvent]:
     if len(body) < _START.size:
-        raise MalformedFrameError("launch record is too short")
+        raise MalformedFrameError(f"launch record has {len(body)} bytes, expected at least {_START.size}")
     instance, seed, size = _START.unpack_from(body)
     if len(body) != _START.size + size:
-        raise MalformedFrameError("launch record does not match the length of its settings")
+        raise MalformedFrameError(
+            f"launch record has {len(body)} bytes, which does not match {size} bytes of settings"
+        )
     try:
         return instance, InstanceStarted(seed, body[_START.size :].decode("utf-8"))
     except UnicodeDecodeError:
-        raise MalformedFrameError("settings are not UTF-8") from None
+        raise MalformedFrameError("settings of a launch record are not valid UTF-8") from None
 
 
 def _decode_crash(body: bytes) -> tuple[int, WireEvent]:
@@ -195,20 +218,26 @@
 
 
 def decode_batch(count: int, payload: bytes) -> Batch:
-    """Return the batch of ``count`` records after a header. Raises MalformedFrameError."""
+    """Decode the payload of a batch of ``count`` records.
+
+    Raises:
+        MalformedFrameError: the payload does not follow the protocol.
+    """
     if len(payload) < _CLOCK.size:
-        raise MalformedFrameError(f"batch of {len(payload)} bytes has no room for the clock")
+        raise MalformedFrameError(
+            f"batch has {len(payload)} bytes, expected at least {_CLOCK.size} for the clock"
+        )
     (now_ms,) = _CLOCK.unpack_from(payload)
     events = []
     position = _CLOCK.size
     end = len(payload)
     for _ in range(count):
         if position + _RECORD.size > end:
-            raise MalformedFrameError("batch ends inside the head of a record")
+            raise MalformedFrameError("batch ends inside a record header")
         code, size = _RECORD.unpack_from(payload, position)
         position += _RECORD.size
         if position + size > end:
-            raise MalformedFrameError(f"record of {size} bytes runs past the end of its batch")
+            raise MalformedFrameError(f"record of {size} bytes extends past the end of its batch")
         decode = _DECODERS.get(code)
         if decode is None:
             raise UnknownCodeError("event code", code)
@@ -220,7 +249,11 @@
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    """Return the next batch, or None at the end of input. Raises MalformedFrameError."""
+    """Read the next batch, or return None at the end of input.
+
+    Raises:
+        MalformedFrameError: the input does not follow the protocol.
+    """
     header = _read_up_to(stream, _HEADER.size)
     if not header:
         return None
@@ -236,7 +269,7 @@
 
 
 def _read_up_to(stream: BinaryIO, size: int) -> bytes:
-    """Return ``size`` bytes, or what is left before the end of input."""
+    """Read ``size`` bytes, or fewer if the input ends."""
     chunks = []
     while size:
         chunk = stream.read(size)
@@ -253,10 +286,10 @@
 
 
 def _encoder(code: int, field_formats: str) -> Callable[[int, Any], bytes]:
-    """Return the encoder of an action whose fields stand on the wire in the order of the tuple."""
+    """Return the encoder of an action that is sent with its fields in the order of the tuple."""
     layout = struct.Struct("<I" + field_formats)
-    head = _RECORD.pack(code, layout.size)
-    return lambda instance, action: head + layout.pack(instance, *action)
+    record_header = _RECORD.pack(code, layout.size)
+    return lambda instance, action: record_header + layout.pack(instance, *action)
 
 
 _FAULT_CODE = 1  # internal_error
@@ -280,16 +313,16 @@
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """Return the record that reports a failure of the decision code."""
+    """Encode the record that reports a failure of the admission controller of an instance."""
     return _encode_text(_FAULT_CODE, instance, text)
 
 
 def encode_action(instance: int, action: api.Action) -> bytes:
-    """Return the record of an action."""
+    """Encode the record of an action."""
     return _ENCODERS[type(action)](instance, action)
 
 
 def encode_reply(records: list[bytes]) -> bytes:
-    """Return the frame of all records of a reply."""
+    """Encode the frame of a reply from its encoded records."""
     payload = b"".join(records)
     return _HEADER.pack(len(records), len(payload)) + payload
--- a/spindlerelay/simulator/host.py
+++ b/spindlerelay/simulator/host.py
@@ -1,6 +1,6 @@
-"""Hosts admission controllers on the simulator's wire: ``python -m spindlerelay.simhost``.
+"""Host of admission controllers that speaks the simulator protocol: ``python -m spindlerelay.simhost``.
 
-Owns the instances of one process and its two streams; the frames are the codec's.
+This module owns the controllers of one process and its input and output streams. The codec owns the frames.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 
 def _fault_text(error: Exception) -> str:
-    # The wire's texts name the built-in class for bad settings.
-    kind = ValueError if isinstance(error, settings_parser.InvalidSettingError) else type(error)
-    return f"{kind.__name__}: {error}".replace("\n", " ")
+    # In the protocol, the text of a fault names the built-in class for invalid settings.
+    error_type = ValueError if isinstance(error, settings_parser.InvalidSettingError) else type(error)
+    return f"{error_type.__name__}: {error}".replace("\n", " ")
 
 
 class Host:
-    """The controllers of one process by instance; nothing is shared between them."""
+    """Holds the controllers of one process by instance number. Controllers share no state."""
 
     def __init__(self) -> None:
         self._controllers: dict[int, AdmissionController] = {}
 
     def handle(self, batch: codec.Batch) -> bytes:
-        """Return the reply to one batch; each instance in it takes one step.
+        """Run one step of each instance in the batch and return the encoded reply.
 
-        An instance that fails is reported and gone; the others go on.
+        If a controller fails, a fault is reported and the instance is removed. Other instances continue.
         """
         pending: dict[int, list[api.Event]] = {}
         records: list[bytes] = []
@@ -70,7 +70,11 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends. Raises MalformedFrameError."""
+    """Answer batches until the input ends.
+
+    Raises:
+        MalformedFrameError: the input does not follow the protocol.
+    """
     host = Host()
     while (batch := codec.read_batch(source)) is not None:
         sink.write(host.handle(batch))
@@ -78,7 +82,7 @@
 
 
 def main() -> int:
-    """Return the exit status: 0 at the end of input, 1 after a malformed frame."""
+    """Serve standard input and return the exit status: 0 at the end of input, 1 after a malformed frame."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except codec.MalformedFrameError as error:
