--- a/spindlerelay/admission/class_statistics.py
+++ b/spindlerelay/admission/class_statistics.py
@@ -109,11 +109,11 @@
             request.relative_cost = event.cost_hint_ms * self.hint_count / self.hint_total_ms
 
     def _backdate_retry(self, request: RequestState, event: api.RequestReceived, tolerance_ms: float) -> None:
-        """Count the latency objective of a retry from the first attempt, if the time of that can be derived.
+        """Count the latency objective of a retry from its first attempt, if that time can be derived.
 
-        A retry whose timeout differs from the caller's usual timeout of first attempts carries the time that
-        its client has left, which gives the time of the first attempt. Otherwise the age of the retry is
-        unknown.
+        If the timeout of a retry differs from the caller's usual timeout of first attempts, it is the time
+        that the client has left of its deadline, which gives the time of the first attempt. Otherwise the age
+        of the retry is unknown.
         """
         timeout_ms = event.read_delay_ms + event.remaining_ms
         first_attempt_timeout_ms = self.caller_timeouts_ms.get(event.caller_id, 0.0)
--- a/spindlerelay/admission/load_report.py
+++ b/spindlerelay/admission/load_report.py
@@ -112,8 +112,8 @@
         """Return whether a retry at another server would be useless.
 
         A retry is useless if reading requests alone overloads the server. It is also useless once a warmed-up
-        server discourages as much traffic as it may: such a lasting overload is taken for one of all servers.
-        Rejections by a server that still warms up say nothing about the other servers.
+        server discourages as much traffic as it may: such a lasting overload is assumed to affect all
+        servers. Rejections by a server that still warms up say nothing about the other servers.
         """
         return traffic.is_delayed(OVERLOAD_DELAY_FRACTION) or (
             warmed_up and self.discouraged_fraction >= MAX_DISCOURAGED_FRACTION
--- a/spindlerelay/admission/request_state.py
+++ b/spindlerelay/admission/request_state.py
@@ -37,7 +37,9 @@
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """State of one request that has been read and is not yet over. Points in time are on the clock of steps.
+    """State of one request that has been read and is not yet over.
+
+    Points in time are on the clock that ``AdmissionController.step`` receives.
 
     Attributes:
         due_ms: point in time of the deadline.
--- a/spindlerelay/admission/self_ejection.py
+++ b/spindlerelay/admission/self_ejection.py
@@ -14,14 +14,14 @@
 # Time until the next decision after a decision that found the server slow. Endpoint lists reflect a change of
 # health within seconds.
 EJECTION_MS = 5000.0
-# A server is slow if it reads fewer requests in a window than this fraction of its maximum so far. A burst of
-# requests raises the number of reads, so it is not taken for a slow server.
+# A server is slow if the number of requests that it has read in the window is below this fraction of its
+# maximum so far. A burst of requests raises the number of reads, so that it is not taken for a slow server.
 SLOW_READ_FRACTION = 0.6
 # Probability with which a slow server of a large fleet ejects itself at one decision. If all servers are
 # slow, half of them stay in the endpoint list.
 EJECTION_PROBABILITY = 0.5
-# Divided by the number of servers and subtracted from the probability: in a fleet of three, no server ejects
-# itself.
+# Divided by the number of servers and subtracted from the probability: in a fleet of up to three servers, no
+# server ejects itself.
 FLEET_CORRECTION = 1.5
 
 
