--- a/spindlerelay/config/operator.py
+++ b/spindlerelay/config/operator.py
@@ -208,7 +208,7 @@
     except ValidationError as error:
         lines = schema.validation_errors(path, error, _suggest_key)
         raise OperatorError(lines[:MAX_REPORTED_ERRORS]) from None
-    _raise_if_any(path, dependencies.table_faults(config.routing_table()))
+    _raise_if_any(path, dependencies.validate_table(config.routing_table()))
     folder = Path(path).resolve().parent
     return _resolve_paths(_resolve_token_file(path, config, folder), folder)
 
@@ -243,7 +243,7 @@
         OperatorError: they do not fit its classes or its share of calls.
     """
     if operator.dependency:
-        _raise_if_any(path, dependencies.node_faults(operator.routing_table(), settings))
+        _raise_if_any(path, dependencies.validate_for_node(operator.routing_table(), settings))
 
 
 def _raise_if_any(path: str, errors: list[tuple[str, str]]) -> None:
--- a/spindlerelay/dependencies/__init__.py
+++ b/spindlerelay/dependencies/__init__.py
@@ -1,6 +1,6 @@
-"""Calls to several dependencies behind one node: routing, queueing, limits, retries and fallbacks.
+"""Calls from one node to several dependencies: routing, queueing, limits, retries and fallbacks.
 
-``call_scheduler`` is one step from events to actions and puts the other modules together, each of which
-decides one thing; they are pure, without I/O or a clock. ``connection_pool`` runs the scheduler on the event
-loop, ``metrics`` publishes its figures.
+``call_scheduler`` turns events into actions. It combines the other modules, each of which makes one kind of
+decision without I/O and without reading a clock. ``connection_pool`` runs the scheduler on the event loop,
+and ``metrics`` publishes the scheduler's metrics.
 """
--- a/spindlerelay/dependencies/call_counters.py
+++ b/spindlerelay/dependencies/call_counters.py
@@ -1,6 +1,6 @@
-"""What is counted for each dependency, and the published names of the counts.
+"""Counters of each dependency, and the names under which they are published.
 
-Pure. The values are published in logs and metrics, which scripts read.
+Pure. The names appear in logs and metrics, which scripts read, so they must not change.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class CallCounter(StrEnum):
-    """A count since the start, with its published name."""
+    """A counter since the start of the process; the value is its published name."""
 
     REQUESTED = "asked"
     SENT = "sent"
@@ -25,8 +25,8 @@
     NEVER_STARTED = "moot"
     ABANDONED = "withdrawn"
     RETRIES = "repeats"
-    SENT_FOR_OTHERS = "guests"
-    FALLBACK_CALLS = "fell_back"
+    SENT_AS_FALLBACK = "guests"
+    SENT_TO_FALLBACK = "fell_back"
     CACHED_RESPONSES = "kept"
     WITHOUT_RESPONSE = "without"
     PARTIAL_RESPONSES = "partial"
--- a/spindlerelay/dependencies/call_estimates.py
+++ b/spindlerelay/dependencies/call_estimates.py
@@ -1,6 +1,6 @@
-"""Durations learned from calls and runs, and the time limit of a call that follows from them.
+"""The timeout of a call, and estimates of how long a run continues after its last call.
 
-Pure: times are ms on the clock that is handed in.
+Pure: all times are ms on the clock of the caller, which passes the current time in.
 """
 
 from __future__ import annotations
@@ -10,13 +10,14 @@
 
 RUN_SMOOTHING = 0.1
 MAX_MEASURED_RUNS = 10_000
-MAX_FAILURE_REDUCTION = 0.5  # of a call's time, where a response without it has some weight
+# The largest part by which failures reduce the timeout of a call whose run can send a partial response.
+MAX_FAILURE_REDUCTION = 0.5
 
 
 def time_limit_ms(call: PendingCall, dependency: DependencyState, now_ms: float) -> float:
-    """Return the time that a call may take from now on.
+    """Return the timeout of a call that is sent at ``now_ms``.
 
-    The more calls fail, the less of a request's time is staked on one that the response can do without.
+    A call that a partial response can omit gets less of the request's time the more calls fail.
     """
     spec = dependency.spec
     fraction = spec.time_fraction
@@ -27,30 +28,32 @@
 
 
 class RemainingRunEstimates:
-    """How long runs of each class continue after their last call."""
+    """Mean duration, by class, for which a run continues after its last call."""
 
     def __init__(self, class_count: int) -> None:
         self._mean_ms = [0.0] * class_count
-        self._resumed: dict[str, tuple[int, float]] = {}  # call to class and time of its result
+        self._resumed_runs: dict[
+            str, tuple[int, float]
+        ] = {}  # by call id: class index and time of the result
 
     def mean_ms(self, class_index: int) -> float:
-        """Return the mean of a class, or 0 before any run has ended."""
+        """Return the mean of a class, or 0 before the first run of the class has ended."""
         return self._mean_ms[class_index]
 
     def note_result(self, now_ms: float, call_id: str, class_index: int) -> None:
-        """Note that a run continues with the result of its call."""
-        if len(self._resumed) >= MAX_MEASURED_RUNS:
-            self._resumed.clear()
-        self._resumed[call_id] = (class_index, now_ms)
+        """Start measuring a run that continues with the result of its call."""
+        if len(self._resumed_runs) >= MAX_MEASURED_RUNS:
+            self._resumed_runs.clear()
+        self._resumed_runs[call_id] = (class_index, now_ms)
 
     def discard(self, call_id: str) -> None:
-        """Stop measuring a run that makes another call, or whose end is not its own."""
-        self._resumed.pop(call_id, None)
+        """Discard the measurement of a run that makes another call or is abandoned."""
+        self._resumed_runs.pop(call_id, None)
 
     def note_run_end(self, now_ms: float, call_id: str) -> None:
-        """Note that a run has ended by itself."""
-        if resumed := self._resumed.pop(call_id, None):
-            class_index, since_ms = resumed
+        """Add the measurement of a run that has ended, if one was started."""
+        if resumed_run := self._resumed_runs.pop(call_id, None):
+            class_index, since_ms = resumed_run
             mean_ms = self._mean_ms[class_index]
             smoothing = RUN_SMOOTHING if mean_ms else 1.0
             self._mean_ms[class_index] += (now_ms - since_ms - mean_ms) * smoothing
--- a/spindlerelay/dependencies/call_events.py
+++ b/spindlerelay/dependencies/call_events.py
@@ -1,4 +1,4 @@
-"""Events, actions and figures of the call scheduler. Pure values; times are in ms."""
+"""Events, actions and metrics of the call scheduler. Pure values; times are in ms."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CallCompleted(NamedTuple):
-    """A call that was sent on this connection has completed."""
+    """A call that was sent on ``connection`` has completed."""
 
     connection: int
     call_id: str
@@ -28,19 +28,19 @@
 
 
 class CallAbandoned(NamedTuple):
-    """The result of this call is not wanted any more."""
+    """The result of a call is no longer needed."""
 
     call_id: str
 
 
 class RunEnded(NamedTuple):
-    """The run that made this call has ended by itself."""
+    """The run that made a call has ended."""
 
     call_id: str
 
 
 class RoutingTableChanged(NamedTuple):
-    """The operator's table has been read again."""
+    """The operator's routing table has been reloaded."""
 
     table: RoutingTable
 
@@ -49,14 +49,14 @@
 
 
 class OpenConnection(NamedTuple):
-    """Provide a connection with this number; it is to be opened when it is first used."""
+    """Provide connection ``connection`` to ``address``; it is opened when the first call is sent."""
 
     connection: int
     address: tuple[str, int]
 
 
 class SendCall(NamedTuple):
-    """Send a call."""
+    """Send a call on ``connection``, with a timeout."""
 
     connection: int
     call_id: str
@@ -65,14 +65,14 @@
 
 
 class CancelCall(NamedTuple):
-    """Cancel a call that was sent; its outcome is not wanted."""
+    """Cancel a call that was sent on ``connection``; its outcome is not needed."""
 
     connection: int
     call_id: str
 
 
 class DeliverResult(NamedTuple):
-    """Return the only result of a call: OK with its response, or an error."""
+    """Deliver the only result of a call: OK with the response, or an error."""
 
     call_id: str
     outcome: Outcome
@@ -80,7 +80,7 @@
 
 
 class CloseConnection(NamedTuple):
-    """Close the connection of a dependency that was removed; nothing is in flight on it."""
+    """Close the connection of a removed dependency, on which no call is in flight."""
 
     connection: int
 
@@ -89,7 +89,7 @@
 
 
 class DependencyMetrics(NamedTuple):
-    """A dependency's gauges, and its counts since the start by their published names."""
+    """Gauges of a dependency, and its counters since the start, by published name."""
 
     name: str
     breaker_state: str
--- a/spindlerelay/dependencies/connection_pool.py
+++ b/spindlerelay/dependencies/connection_pool.py
@@ -1,8 +1,9 @@
-"""The dependencies' connections on the event loop.
+"""Connections to the dependencies, on the event loop.
 
-Carries events to the scheduler and executes its actions; decides nothing. Each dependency has a
-``StoreClient`` with connections of its own, so that a fault of one affects no other. A result that arrives
-while an action is executed waits for the next round of the same turn.
+Passes events to the scheduler and executes the scheduler's actions; the scheduler makes all decisions. Each
+dependency has a separate ``StoreClient`` with separate connections, so that a fault of one dependency does
+not affect another. An event that occurs while an action is executed is processed in the next round of the
+same turn.
 """
 
 from __future__ import annotations
@@ -37,33 +38,33 @@
 
 QUEUE_CHECK_INTERVAL_MS = 20.0
 DEFAULT_PUBLICATION_INTERVAL_MS = 10_000.0
-MAX_ROUNDS_PER_TURN = 1000  # a loop of events and actions must not stop the node
+MAX_ROUNDS_PER_TURN = 1000  # an endless cycle of events and actions must not block the node
 
 
 class SchedulerProtocol(Protocol):
-    """The scheduler, as far as the pool needs it."""
+    """The interface of a scheduler that the pool uses."""
 
     table: RoutingTable
 
     def step(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Process events and return what is to be done, in order."""
+        """Process events and return the actions to execute, in order."""
         ...
 
     def has_queued_calls(self) -> bool:
-        """Return whether time alone may change anything."""
+        """Return whether any call waits for something that changes with time alone."""
         ...
 
     def metrics(self) -> list[DependencyMetrics]:
-        """Return the figures of each dependency."""
+        """Return the metrics of each dependency."""
         ...
 
     def count_partial_response(self, class_name: str, body: bytes) -> None:
-        """Count a run that goes on without its call."""
+        """Count a run that continues without its call."""
         ...
 
 
 class ConnectionPool:
-    """All calls of a node; ``on_reply`` gets the only result of each."""
+    """The calls of a node to its dependencies; ``on_reply`` receives the result of each call once."""
 
     def __init__(
         self,
@@ -89,36 +90,36 @@
         loop.call_later(publication_interval_ms, self._publish)
 
     def start_call(self, request: IncomingRequest, remaining_ms: float, body: bytes) -> None:
-        """Make the call that the run of a request waits for, within the time left."""
+        """Start the call that the run of a request waits for, with ``remaining_ms`` left for the call."""
         self._process(
             CallRequested(request.call_id, request.class_index, body, remaining_ms, request.tenant_index)
         )
 
-    def cancel(self, call: str) -> None:
-        """Abandon a call whose result is not wanted any more."""
-        self._process(CallAbandoned(call))
+    def cancel(self, call_id: str) -> None:
+        """Abandon a call whose result is no longer needed."""
+        self._process(CallAbandoned(call_id))
 
-    def run_ended(self, call: str) -> None:
-        """Note that the run of this request has ended."""
-        self._process(RunEnded(call))
+    def run_ended(self, call_id: str) -> None:
+        """Note that the run that made a call has ended."""
+        self._process(RunEnded(call_id))
 
     def call_skipped(self, request: IncomingRequest, body: bytes) -> None:
-        """Note that a run goes on without its call."""
+        """Note that the run of a request continues without its call."""
         self._scheduler.count_partial_response(self._settings.classes[request.class_index].name, body)
 
     def weight_without_call(self, request: IncomingRequest, body: bytes) -> float:
-        """Return the weight of a response without this call; 0 where the call is required."""
+        """Return the weight of a partial response without this call; 0 if the call is required."""
         class_name = self._settings.classes[request.class_index].name
         table = self._scheduler.table
         spec = table.route(class_name, body)
         return table.partial_response_weight(spec, class_name) if spec else 0.0
 
     def reload(self, table: RoutingTable) -> None:
-        """Take a new, valid table; calls in flight complete where they are."""
+        """Replace the routing table with a valid one; calls in flight complete on their connections."""
         self._process(RoutingTableChanged(table))
 
     def unavailable_ms(self) -> float:
-        """Return for how long every dependency has refused all connections; 0 where one accepts them."""
+        """Return for how long all dependencies have refused connections; 0 if any one accepts them."""
         return min((connection.unavailable_ms() for connection in self._connections.values()), default=0.0)
 
     def _process(self, *events: Event) -> None:
@@ -163,15 +164,15 @@
                 self._schedule_turn()
             case CloseConnection(number):
                 self._connections.pop(number).close()
-                logger.info("dependency: connection {} closed, nothing is in flight on it", number)
+                logger.info("dependency: connection {} closed after its last call in flight", number)
 
     def _schedule_turn(self) -> None:
-        """Have the node process a result soon that it gets while it carries out a step."""
+        """Schedule another turn at once, since the node may receive a result in the middle of a step."""
         if not self._turn_scheduled:
             self._turn_scheduled = True
-            self._loop.call_later(0.0, self._note_turn)
+            self._loop.call_later(0.0, self._on_turn)
 
-    def _note_turn(self) -> None:
+    def _on_turn(self) -> None:
         self._turn_scheduled = False
 
     def _publish(self) -> None:
--- a/spindlerelay/dependencies/dependency_state.py
+++ b/spindlerelay/dependencies/dependency_state.py
@@ -1,7 +1,7 @@
-"""One dependency at work: its queue, the calls in flight, and what their ends say of it.
+"""State of one dependency: its queue, its calls in flight, and the measurements of completed calls.
 
-Pure: times are ms on the clock that is handed in. Owns the dependency's limit, breaker, retry budget and
-counts. Does not know other dependencies.
+Pure: all times are ms on the clock of the caller, which passes the current time in. Owns the dependency's
+concurrency limit, circuit breaker, retry budget and counters. Has no access to other dependencies.
 """
 
 from __future__ import annotations
@@ -18,63 +18,67 @@
 from spindlerelay.dependencies.retry_budget import RetryBudget
 from spindlerelay.dependencies.routing_table import DependencySpec
 
-QUEUED_CALLS_PER_BUDGET = 4  # more would wait longer than any run has time
+# Length of the queue in multiples of ``max_concurrency``; calls in a longer queue would miss their deadlines.
+MAX_QUEUE_PER_CONCURRENCY = 4
 DURATION_SMOOTHING = 0.2
-DURATION_HALF_LIFE_MS = 500.0  # in which the mean halves without a call, else one jam would forbid all calls
+# The mean duration halves in this time without calls. Otherwise the long durations of one congestion would
+# keep all later calls from being sent, and the mean could never fall again.
+DURATION_HALF_LIFE_MS = 500.0
 LOAD_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT, Outcome.OVERLOADED)
 TIMED_OUTCOMES = (Outcome.OK, Outcome.TIMEOUT)
 
 
 class DependencyState:
-    """One dependency; ``number`` is that of its connection."""
+    """One dependency; ``number`` is the number of its connection."""
 
     def __init__(self, number: int, spec: DependencySpec, seed: int) -> None:
         self.number = number
         self.spec = spec
         self.limit = create_limit(spec.limit_algorithm, float(spec.max_concurrency))
         self.breaker = CircuitBreaker(seed, spec.breaker_open_ms)
-        self.retries = RetryBudget(spec.retry_ratio)
+        self.retry_budget = RetryBudget(spec.retry_ratio)
         self.in_flight: dict[str, PendingCall] = {}
-        self.queue: list[PendingCall] = []  # in the order in which calls are sent
+        self.queue: list[PendingCall] = []  # by falling priority
         self.counts: Counter[CallCounter] = Counter()
-        self.removed = False  # from the table; calls in flight may still complete
-        self._fallback_calls = 0  # in flight for other dependencies
-        self._abandoned_until: deque[float] = deque()  # calls that may still be at work
+        self.removed = False  # no longer in the routing table; calls in flight may still complete
+        self._fallback_calls = 0  # calls in flight whose primary dependency is another one
+        # Times until which abandoned calls may still be running.
+        self._abandoned_until_ms: deque[float] = deque()
         self._mean_ms = 0.0
         self._mean_updated_ms = 0.0
 
     def configure(self, spec: DependencySpec) -> None:
-        """Take a changed configuration; what was measured stays."""
+        """Apply a changed configuration; measurements are kept."""
         if spec.limit_algorithm != self.spec.limit_algorithm:
             self.limit = create_limit(spec.limit_algorithm, float(spec.max_concurrency))
         elif spec.max_concurrency != self.spec.max_concurrency:
             self.limit.set_maximum(float(spec.max_concurrency))
         self.breaker.open_ms = spec.breaker_open_ms
-        self.retries.retry_ratio = spec.retry_ratio
+        self.retry_budget.retry_ratio = spec.retry_ratio
         self.spec = spec
 
     def mean_call_ms(self, now_ms: float) -> float:
-        """Return the mean duration of recent calls, which fades without new ones; 0 if unknown."""
+        """Return the mean duration of recent calls, which decays without new calls; 0 if unknown."""
         if not self._mean_ms:
             return 0.0
         age_ms = max(0.0, now_ms - self._mean_updated_ms)
         return self._mean_ms * math.exp2(-age_ms / DURATION_HALF_LIFE_MS)
 
-    def occupied(self, now_ms: float) -> int:
-        """Return the calls in flight, abandoned ones that may still be at work included."""
-        abandoned = self._abandoned_until
+    def concurrency(self, now_ms: float) -> int:
+        """Return the number of calls in flight, including abandoned calls that may still be running."""
+        abandoned = self._abandoned_until_ms
         while abandoned and abandoned[0] <= now_ms:
             abandoned.popleft()
         return len(self.in_flight) + len(abandoned)
 
     def has_capacity(self, now_ms: float) -> bool:
         """Return whether the limit allows another call."""
-        return self.occupied(now_ms) < int(self.limit.limit)
+        return self.concurrency(now_ms) < int(self.limit.limit)
 
     def accepts_fallback(self, now_ms: float) -> bool:
-        """Return whether another dependency's call may be sent here.
+        """Return whether a call of another dependency may be sent here as a fallback.
 
-        That takes a closed breaker, an empty queue, and capacity within the quota of such calls.
+        The breaker must be closed, the queue empty, and capacity free within the quota of fallback calls.
         """
         quota = int(self.limit.limit * self.spec.fallback_quota)
         return (
@@ -85,14 +89,14 @@
         )
 
     def enqueue(self, call: PendingCall) -> PendingCall | None:
-        """Queue a call by its stake, the largest first; return the last call if the queue is too long."""
+        """Insert a call into the queue by priority; return the last call if it no longer fits."""
         queue = self.queue
-        position = next((i for i, other in enumerate(queue) if other.stake < call.stake), len(queue))
+        position = next((i for i, other in enumerate(queue) if other.priority < call.priority), len(queue))
         queue.insert(position, call)
-        return queue.pop() if len(queue) > QUEUED_CALLS_PER_BUDGET * self.spec.max_concurrency else None
+        return queue.pop() if len(queue) > MAX_QUEUE_PER_CONCURRENCY * self.spec.max_concurrency else None
 
     def take_queue(self) -> list[PendingCall]:
-        """Empty the queue and return what was in it."""
+        """Empty the queue and return the calls that were queued."""
         queue = self.queue
         self.queue = []
         return queue
@@ -105,25 +109,25 @@
         call.attempts += 1
         self.in_flight[call.call_id] = call
         self.counts[CallCounter.SENT] += 1
-        if self is not call.owner:
+        if self is not call.primary:
             self._fallback_calls += 1
-            self.counts[CallCounter.SENT_FOR_OTHERS] += 1
+            self.counts[CallCounter.SENT_AS_FALLBACK] += 1
         elif call.attempts == 1:
-            self.retries.note_first_attempt()
+            self.retry_budget.note_first_attempt()
 
     def remove_in_flight(self, call: PendingCall) -> None:
-        """Note that a call is in flight no more."""
+        """Note that a call is no longer in flight."""
         del self.in_flight[call.call_id]
-        self._fallback_calls -= self is not call.owner
+        self._fallback_calls -= self is not call.primary
 
     def note_abandoned(self, now_ms: float, abandoned_call_ms: float) -> None:
-        """Note that a call may be at work in the dependency for some time without being in flight."""
-        self._abandoned_until.append(now_ms + abandoned_call_ms)
+        """Note that an abandoned call may run in the dependency for up to ``abandoned_call_ms``."""
+        self._abandoned_until_ms.append(now_ms + abandoned_call_ms)
 
     def note_end(self, now_ms: float, call: PendingCall, outcome: Outcome) -> None:
-        """Update breaker, limit and mean duration by the end of a call that was removed from flight."""
+        """Update breaker, limit and mean duration after the end of a call that is no longer in flight."""
         breaker = self.breaker
-        if outcome is Outcome.NEVER_STARTED:  # its caller gave up first, which is no failure
+        if outcome is Outcome.NEVER_STARTED:  # cancelled before it started, which is no failure
             breaker.note_abandoned(call.breaker_epoch)
             return
         duration_ms = now_ms - call.sent_ms
@@ -152,17 +156,17 @@
         self._mean_ms = mean_ms + (duration_ms - mean_ms) * smoothing
         self._mean_updated_ms = now_ms
 
-    def figures(self, now_ms: float) -> DependencyMetrics:
-        """Return the gauges and counts of this moment."""
+    def metrics(self, now_ms: float) -> DependencyMetrics:
+        """Return the current gauges and counters."""
         counts = {counter.value: count for counter, count in self.counts.items()}
-        counts[CallCounter.BREAKER_OPENED.value] = self.breaker.opened
+        counts[CallCounter.BREAKER_OPENED.value] = self.breaker.open_count
         return DependencyMetrics(
             self.spec.name,
             self.breaker.state.value,
-            self.occupied(now_ms),
+            self.concurrency(now_ms),
             int(self.limit.limit),
             len(self.queue),
             self.mean_call_ms(now_ms),
-            self.retries.tokens,
+            self.retry_budget.tokens,
             counts,
         )
--- a/spindlerelay/dependencies/metrics.py
+++ b/spindlerelay/dependencies/metrics.py
@@ -1,7 +1,7 @@
-"""Publication of the dependencies' figures: one interface, with the structured log as its first user.
+"""Publication of the dependencies' metrics to a ``MetricsSink``, by default the structured log.
 
-Another metrics library takes over by another ``MetricsSink``; the published names stay. One line for each
-dependency and period, never one for a request.
+Another metrics library is connected by another implementation of ``MetricsSink``; the published names stay
+the same. The log gets one line per dependency and publication interval, never one per request.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from spindlerelay.dependencies.call_counters import CallCounter
 from spindlerelay.dependencies.call_events import DependencyMetrics
 
-# Published name and field of the figures.
+# Published name of each gauge, and the field of ``DependencyMetrics`` that holds the value.
 PUBLISHED_GAUGES = {
     "in_hand": "in_flight",
     "limit": "limit",
@@ -26,17 +26,17 @@
 
 
 class MetricsSink(Protocol):
-    """Where figures go, by the dependency's name."""
+    """A destination for metrics of dependencies."""
 
     def publish(
         self, name: str, breaker_state: str, gauges: dict[str, float], counts: dict[str, int]
     ) -> None:
-        """Take gauges of the moment and counts since the start."""
+        """Publish the current gauges of the dependency ``name``, and its counters since the start."""
         ...
 
 
 class LogSink:
-    """A line in the log, with the figures as fields of the structured form; counts since the last line."""
+    """Writes metrics to the log, also as structured fields; counters as increments since the last line."""
 
     def __init__(self) -> None:
         self._published_counts: dict[str, dict[str, int]] = {}
@@ -44,7 +44,7 @@
     def publish(
         self, name: str, breaker_state: str, gauges: dict[str, float], counts: dict[str, int]
     ) -> None:
-        """Write the line of one dependency."""
+        """Write one log line with the metrics of a dependency."""
         before = self._published_counts.get(name, {})
         self._published_counts[name] = counts
         shown = {key: round(value, 1) for key, value in gauges.items()}
@@ -55,8 +55,8 @@
         logger.bind(**fields).info("dependency: {} {} {}", name, breaker_state, text)
 
 
-def publish(figures: Iterable[DependencyMetrics], sink: MetricsSink) -> None:
-    """Publish the figures of each dependency."""
-    for each in figures:
-        gauges = {key: float(getattr(each, field)) for key, field in PUBLISHED_GAUGES.items()}
-        sink.publish(each.name, each.breaker_state, gauges, dict(each.counts))
+def publish(metrics: Iterable[DependencyMetrics], sink: MetricsSink) -> None:
+    """Publish the metrics of each dependency."""
+    for dependency in metrics:
+        gauges = {key: float(getattr(dependency, field)) for key, field in PUBLISHED_GAUGES.items()}
+        sink.publish(dependency.name, dependency.breaker_state, gauges, dict(dependency.counts))
--- a/spindlerelay/dependencies/pending_call.py
+++ b/spindlerelay/dependencies/pending_call.py
@@ -1,4 +1,4 @@
-"""One call from the request of its run to its result. Pure."""
+"""The state of one call, from the request of its run to its result. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,16 @@
 class PendingCall:
     """A call without a result.
 
-    ``owner`` is the dependency that its route names, ``dependency`` the one that it waits for or was sent to.
+    Attributes:
+        primary: dependency that the routing table selects for the call.
+        dependency: dependency for which the call is queued, or to which it was last sent.
+        priority: priority weight that is lost if the call gets no response; orders the queue.
+        partial_response_weight: relative weight of a response without the call; 0 if the call is required.
+        remaining_run_ms: time that the run is expected to take after the call.
+        not_before_ms: end of the backoff before the next attempt.
+        breaker_epoch: epoch of the circuit breaker in which the call was last sent.
+        next_fallback: index of the first fallback that was not yet considered.
+        may_have_run: whether the call is not idempotent and may have run, so that it must not be sent again.
     """
 
     __slots__ = (
@@ -22,9 +31,9 @@
         "body",
         "tenant_index",
         "deadline_ms",
-        "owner",
+        "primary",
         "dependency",
-        "stake",
+        "priority",
         "idempotent",
         "partial_response_weight",
         "remaining_run_ms",
@@ -36,21 +45,21 @@
         "may_have_run",
     )
 
-    def __init__(self, event: CallRequested, now_ms: float, owner: DependencyState) -> None:
+    def __init__(self, event: CallRequested, now_ms: float, primary: DependencyState) -> None:
         self.call_id = event.call_id
         self.class_index = event.class_index
         self.body = event.body
         self.tenant_index = event.tenant_index
         self.deadline_ms = now_ms + event.remaining_ms
-        self.owner = owner
-        self.dependency = owner
-        self.stake = 0.0  # priority weight that is lost without a response
+        self.primary = primary
+        self.dependency = primary
+        self.priority = 0.0
         self.idempotent = True
         self.partial_response_weight = 0.0
-        self.remaining_run_ms = 0.0  # that the run is expected to take after this call
+        self.remaining_run_ms = 0.0
         self.attempts = 0
         self.sent_ms = 0.0
-        self.not_before_ms = 0.0  # end of the backoff
+        self.not_before_ms = 0.0
         self.breaker_epoch = 0
         self.next_fallback = 0
-        self.may_have_run = False  # and is not idempotent: it must not be made again
+        self.may_have_run = False
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -243,7 +243,7 @@
     refused = driver.request(
         ORDER, b"same", remaining_ms=3000.0
     )  # proof that it never ran: it may be sent elsewhere
-    driver.scheduler._by_name["archive"].retries.tokens = 0.0
+    driver.scheduler._by_name["archive"].retry_budget.tokens = 0.0
     driver.complete(refused, Outcome.CONNECT_FAILED)
     assert driver.sent[refused].connection == 2
 
--- a/tests/test_dependencies_node.py
+++ b/tests/test_dependencies_node.py
@@ -140,8 +140,8 @@
     with pytest.raises(AssertionError, match="did not start") as caught:
         Dependent.__enter__(Renewed(node))
     told = str(caught.value)
-    assert "dependency.0.routes: 'orders' is no class of this node; known here: order, preview" in told
-    assert "dependency.1.partial: class 'order' has an effect" in told and "Traceback" not in told
+    assert "dependency.0.routes: unknown class 'orders'; expected one of: order, preview" in told
+    assert "dependency.1.partial: class 'order' is not idempotent" in told and "Traceback" not in told
     node.__exit__(None, None, None)
 
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -40,8 +40,8 @@
         (CALLS + 'open_for = "1ms"', ["dependency.0.open_for", "at least 50"]),
         (CALLS + "open_for = 700", ["dependency.0.open_for: 700", "time with its unit"]),
         (CALLS + 'protocol = "http"', ["dependency.0.protocol: 'http'", "'store'"]),
-        (CALLS + 'fallback = ["tariff"]', ["dependency.0.fallback", "'tariff' is no dependency"]),
-        (CALLS + CALLS, ["dependency.1.name", "'archive' stands twice"]),
+        (CALLS + 'fallback = ["tariff"]', ["dependency.0.fallback", "unknown dependency 'tariff'"]),
+        (CALLS + CALLS, ["dependency.1.name", "duplicate name 'archive'"]),
         ('[metrics]\nevery = "1ms"', ["metrics.every", "at least 100"]),
     ],
 )
--- a/tests/test_routing_table.py
+++ b/tests/test_routing_table.py
@@ -8,8 +8,8 @@
     DependencySpec,
     Route,
     RoutingTable,
-    node_faults,
-    table_faults,
+    validate_for_node,
+    validate_table,
 )
 from tests.scheduler_driver import ARCHIVE, PLAIN, SETTINGS, TARIFF
 
@@ -21,62 +21,66 @@
 @pytest.mark.parametrize(
     ("bad", "key", "words"),
     [
-        (with_tariff(TARIFF._replace(name="archive")), "dependency.1.name", "stands twice"),
-        (with_tariff(TARIFF._replace(name="skip")), "dependency.1.name", "word of fallback"),
+        (with_tariff(TARIFF._replace(name="archive")), "dependency.1.name", "duplicate name 'archive'"),
+        (with_tariff(TARIFF._replace(name="skip")), "dependency.1.name", "reserved word of fallback"),
         (
             with_tariff(TARIFF._replace(routes=(Route("preview"),))),
             "dependency.1.routes",
-            "goes to 'archive', too",
+            "is already routed to 'archive'",
         ),
         (
             with_tariff(TARIFF._replace(routes=(Route("proof"),))),
             "dependency.1.routes",
-            "no class of this node; known here: order",
+            "unknown class 'proof'; expected one of: order",
         ),
         (
             with_tariff(TARIFF._replace(fallbacks=("tarif", "skip"))),
             "dependency.1.fallback",
-            "known here: kept, skip, archive",
+            "unknown dependency 'tarif'; expected one of: kept, skip, archive",
         ),
         (
             with_tariff(TARIFF._replace(fallbacks=("skip", "archive"))),
             "dependency.1.fallback",
-            "must stand last",
+            "must be the last fallback",
         ),
         (
             with_tariff(TARIFF._replace(fallbacks=("archive", "archive", "skip"))),
             "dependency.1.fallback",
-            "stands twice",
+            "duplicate fallback",
+        ),
+        (with_tariff(TARIFF._replace(fallbacks=())), "dependency.1.partial", "require each other"),
+        (
+            with_tariff(TARIFF._replace(fallbacks=("kept", "skip"))),
+            "dependency.1.kept_for",
+            "require each other",
         ),
-        (with_tariff(TARIFF._replace(fallbacks=())), "dependency.1.partial", "go together"),
-        (with_tariff(TARIFF._replace(fallbacks=("kept", "skip"))), "dependency.1.kept_for", "go together"),
         (
             with_tariff(TARIFF._replace(partial_response_weights=(("order", 0.5),))),
             "dependency.1.partial",
-            "answered whole or not at all",
+            "is not idempotent, so it cannot have partial responses",
         ),
         (
             with_tariff(TARIFF._replace(partial_response_weights=(("preview", 0.0),))),
             "dependency.1.partial",
-            "worth nothing",
+            "weight of class 'preview' must be above 0",
         ),
         (
             with_tariff(TARIFF._replace(max_concurrency=8, fleet_capacity=20.0)),
             "dependency.1.budget",
-            "8 is over this node's share of 6.66667",
+            "8 exceeds this node's share of 6.66667",
         ),
-        (RoutingTable((TARIFF,)), "dependency", "class 'order' makes calls"),
+        (RoutingTable((TARIFF,)), "dependency", "class 'order' makes calls, but has no route"),
         (
             RoutingTable(
                 (ARCHIVE._replace(fallbacks=("tariff",)), TARIFF._replace(fallbacks=("archive", "skip")))
             ),
             "dependency.0.fallback",
-            "a loop: archive to tariff to archive",
+            "fallback cycle: archive to tariff to archive",
         ),
         (
             with_tariff(TARIFF._replace(fallbacks=("tariff", "skip"))),
             "dependency.1.fallback",
-            "a loop: tariff to tariff",
+            "fallback cycle: tariff to tariff",
         ),
     ],
     ids=[
@@ -98,6 +102,6 @@
     ],
 )
 def test_invalid_table_is_reported_with_its_key(bad: RoutingTable, key: str, words: str) -> None:
-    found = node_faults(bad, SETTINGS)
+    found = validate_for_node(bad, SETTINGS)
     assert any(at == key and words in text for at, text in found), found
-    assert not node_faults(PLAIN, SETTINGS) and not table_faults(PLAIN)
+    assert not validate_for_node(PLAIN, SETTINGS) and not validate_table(PLAIN)
