--- a/spindlerelay/routing/__init__.py
+++ b/spindlerelay/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Client-side load balancing over many endpoints with few and old observations: a library for balancers.
+"""Library for balancers: client-side load balancing over many endpoints, from few and stale observations.
 
-Pure: no I/O, no clock. ``load_balancer`` puts the other modules together, which can also be used alone.
+Pure: no I/O, no clock. ``load_balancer`` combines the other modules; each module can also be used alone.
 """
--- a/spindlerelay/routing/latency_estimates.py
+++ b/spindlerelay/routing/latency_estimates.py
@@ -1,31 +1,31 @@
-"""What a caller knows of one endpoint's latency, and how certain it still is.
+"""A caller's estimate of one endpoint's latency, and the certainty of the estimate.
 
-Pure: times in ms are passed in. The cost of an endpoint is its peak-EWMA latency, as published with Finagle:
-a higher latency counts at once, a lower one gradually. A failure never makes an endpoint look fast. An
-observation loses influence with its age to the mean of all endpoints, so that none looks best by old
-observations alone (Mitzenmacher 2000; Dahlin 1999).
+Pure: times are passed in, in ms. The cost of an endpoint is its peak-EWMA latency, as published with Finagle:
+a rise in latency counts at once, a fall gradually. A failure never makes an endpoint look fast. As an
+observation ages, the estimate moves from it to the mean of all endpoints, so that no endpoint looks best
+because of stale observations alone (Mitzenmacher 2000; Dahlin 1999).
 """
 
 from __future__ import annotations
 
 import math
 
-DECAY_MS = 10_000.0  # time constant of a decrease
+DECAY_MS = 10_000.0  # time constant of a falling cost
 CERTAINTY_DECAY_MS = 8000.0  # time constant of the certainty of an observation
-MIN_FAILURE_COST_MS = 2000.0  # over the shortest latency objective in use
+MIN_FAILURE_COST_MS = 2000.0  # greater than the shortest latency objective in use
 
 
 class LatencyEstimate:
-    """One endpoint as one caller sees it."""
+    """One caller's observations of one endpoint."""
 
-    __slots__ = ("cost_ms", "last_response_ms", "in_flight", "consecutive_rejections", "retry_after_ms")
+    __slots__ = ("cost_ms", "last_response_ms", "in_flight", "consecutive_rejections", "not_before_ms")
 
     def __init__(self) -> None:
         self.cost_ms = 0.0
         self.last_response_ms = -math.inf
-        self.in_flight = 0  # attempts of this caller
+        self.in_flight = 0  # attempts of this caller in flight
         self.consecutive_rejections = 0
-        self.retry_after_ms = -math.inf  # time until which it wants no attempts
+        self.not_before_ms = -math.inf  # no attempt is sent before this time
 
     def note_end(self, now_ms: float, duration_ms: float, failed: bool) -> None:
         """Note the end of an attempt that was not rejected."""
@@ -33,17 +33,17 @@
         if sample_ms >= self.cost_ms or self.last_response_ms == -math.inf:
             self.cost_ms = sample_ms
         else:
-            retained = math.exp(-max(0.0, now_ms - self.last_response_ms) / DECAY_MS)
-            self.cost_ms = self.cost_ms * retained + sample_ms * (1.0 - retained)
+            retention = math.exp(-max(0.0, now_ms - self.last_response_ms) / DECAY_MS)
+            self.cost_ms = self.cost_ms * retention + sample_ms * (1.0 - retention)
         self.last_response_ms = max(self.last_response_ms, now_ms)
 
     def certainty(self, now_ms: float) -> float:
-        """Return 1 for an observation of just now down to 0; a clock set back gives 1 at most."""
+        """Return the certainty, from 1 for a new observation falling to 0; 1 if the clock was set back."""
         if self.last_response_ms == -math.inf:
             return 0.0
         return min(1.0, math.exp(-(now_ms - self.last_response_ms) / CERTAINTY_DECAY_MS))
 
     def expected_cost_ms(self, now_ms: float, mean_cost_ms: float) -> float:
-        """Return the cost, moved towards the mean of all endpoints by its uncertainty."""
+        """Return the mean of cost and ``mean_cost_ms`` (of all endpoints), weighted by certainty."""
         certainty = self.certainty(now_ms)
         return certainty * self.cost_ms + (1.0 - certainty) * mean_cost_ms
--- a/spindlerelay/routing/subsetting.py
+++ b/spindlerelay/routing/subsetting.py
@@ -1,14 +1,14 @@
-"""Which endpoints a caller uses: few each, and about as many callers for every endpoint.
+"""Subsetting: each caller uses few endpoints, and all endpoints have about the same number of callers.
 
 Pure. Endpoints form a ring in the order of their hashes. A caller that knows its number among all callers
-takes the endpoints from its position on: every endpoint then has as many callers as any other, give or take
-one, and an endpoint that comes or goes changes each subset by one at most (deterministic aperture, as
-published with Finagle). A caller that does not know its number uses rendezvous hashing: as even as chance,
-and as stable.
-
-Where endpoints differ in weight, each covers an arc of the ring as long as its weight, callers stand at even
-distances, and a caller takes the part of each endpoint that its own arc covers: every endpoint then has
-callers by its weight.
+uses consecutive endpoints from its position on the ring. The numbers of callers of any two endpoints then
+differ by at most one, and adding or removing an endpoint changes at most one endpoint of each subset
+(deterministic aperture, as published with Finagle). A caller that does not know its number uses rendezvous
+hashing, which is as stable, but only as even as a random choice.
+
+If endpoints have different weights, the arc of an endpoint on the ring is as long as its weight, and the arcs
+of callers begin at even distances. A caller uses the part of each endpoint that the caller's arc covers, so
+the number of callers of an endpoint is proportional to its weight.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 from spindlerelay.errors import SpindlerelayError
 
-MIN_COVERED_FRACTION = 1e-9  # of the ring; less is a rounding error
+MIN_COVERED_FRACTION = 1e-9  # part of the ring; a smaller overlap of two arcs is a rounding error
 
 
 class UnknownCallerError(SpindlerelayError, ValueError):
-    """A caller's number is not from 0 up to the number of callers."""
+    """A caller's number is negative, or not less than the number of callers."""
 
     def __init__(self, number: int, callers: int) -> None:
         super().__init__(f"caller {number} of {callers}: expected a number from 0 to {callers - 1}")
@@ -32,8 +32,8 @@
 
 
 @lru_cache(maxsize=4096)
-def _hash(*words: str) -> bytes:
-    return blake2b("\x1f".join(words).encode(), digest_size=8).digest()
+def _hash(*parts: str) -> bytes:
+    return blake2b("\x1f".join(parts).encode(), digest_size=8).digest()
 
 
 def _ring(names: Collection[str]) -> list[str]:
@@ -46,10 +46,10 @@
 
 
 def subset_by_number(names: Collection[str], number: int, callers: int, size: int) -> list[str]:
-    """Return the endpoints of caller ``number``, from 0, of ``callers``.
+    """Return the endpoints of caller ``number`` (from 0) of ``callers`` callers.
 
     Raises:
-        UnknownCallerError: there is no such caller.
+        UnknownCallerError: ``number`` is not from 0 to ``callers - 1``.
     """
     _check_caller(number, callers)
     ring = _ring(names)
@@ -58,27 +58,29 @@
 
 
 def subset_by_weight(weights: Mapping[str, float], number: int, callers: int, size: int) -> dict[str, float]:
-    """Return the endpoints of caller ``number``, from 0, and the part of their weights that is the caller's.
+    """Return the endpoints of caller ``number`` (from 0), with the parts of their weights assigned to it.
 
     The caller's arc of the ring is as long as ``size`` endpoints of mean weight.
 
     Raises:
-        UnknownCallerError: there is no such caller.
+        UnknownCallerError: ``number`` is not from 0 to ``callers - 1``.
     """
     _check_caller(number, callers)
     ring = _ring([name for name in weights if weights[name] > 0.0])
-    length = sum(weights[name] for name in ring)
-    span = length * min(1.0, size / max(1, len(ring)))
-    start = length * number / callers
+    ring_length = sum(weights[name] for name in ring)
+    caller_length = ring_length * min(1.0, size / max(1, len(ring)))
+    caller_start = ring_length * number / callers
     subset: dict[str, float] = {}
     arc_end = 0.0
     for name in ring:
         arc_start = arc_end
         arc_end = arc_end + weights[name]
-        # The ring closes: what lies past its end is at its beginning.
-        covered = _overlap(arc_start, arc_end, start, start + span)
-        covered += _overlap(arc_start, arc_end, start - length, start - length + span)
-        if covered > MIN_COVERED_FRACTION * length:
+        # The part of the caller's arc past the end of the ring continues at the beginning of the ring.
+        covered = _overlap(arc_start, arc_end, caller_start, caller_start + caller_length)
+        covered += _overlap(
+            arc_start, arc_end, caller_start - ring_length, caller_start - ring_length + caller_length
+        )
+        if covered > MIN_COVERED_FRACTION * ring_length:
             subset[name] = min(covered, weights[name])
     return subset
 
@@ -93,7 +95,7 @@
 
 
 def callers_by_endpoint(subsets: Sequence[Sequence[str]]) -> dict[str, int]:
-    """Return how many callers each endpoint has, of those that have one."""
+    """Return the number of callers of each endpoint in ``subsets``."""
     counts: dict[str, int] = {}
     for subset in subsets:
         for name in subset:
--- a/spindlerelay/routing/weighted_round_robin.py
+++ b/spindlerelay/routing/weighted_round_robin.py
@@ -1,12 +1,13 @@
-"""Weighted round robin, for callers that know only the weights of a list.
+"""Weighted round robin, for callers that know only the weights of endpoints.
 
-Pure. Draws by weight leave the unevenness of chance. Here each endpoint has its turns at even distances,
-inversely proportional to its weight (earliest deadline first; smooth weighted round robin), and the caller
-uses its subset of the ring (``subsetting.subset_by_weight``): few callers share an endpoint, and what each
-sends it evenly stays even there.
+Pure. Random choices by weight spread attempts unevenly over short times. Here an endpoint is chosen at even
+intervals of virtual time, inversely proportional to its weight (earliest deadline first; smooth weighted
+round robin). The caller uses its subset of the ring (``subsetting.subset_by_weight``): few callers share an
+endpoint, so the attempts that a caller spaces evenly also arrive evenly.
 
-First turns are random, or callers that begin together would all begin with the same endpoints. An endpoint
-that was excluded has no turns to make up for: it would get them all at once.
+The first virtual time of an endpoint is random, since callers that start together would otherwise all start
+with the same endpoints. An endpoint that was excluded does not catch up on attempts that it missed, since it
+would get all of them at once.
 """
 
 from __future__ import annotations
@@ -19,57 +20,61 @@
 
 
 class WeightedRoundRobin:
-    """One caller; callers need different seeds. Without a position it uses the whole list.
+    """The round robin of one caller.
 
-    Its subset of ``weights`` has the part of each weight that is the caller's.
+    ``rng`` must have a different seed for each caller. Without a position, the caller uses all endpoints.
+    With one, ``subset`` maps the caller's endpoints to the part of each weight that is assigned to the
+    caller.
     """
 
     def __init__(self, rng: random.Random, position: CallerPosition | None = None) -> None:
         self.weights: dict[str, float] = {}
         self.subset: dict[str, float] = {}
         self._random = rng
-        self._place = position
-        self._next_turns: dict[str, float] = {}  # in turns of an endpoint of weight 1
-        self._current_turn = 0.0
+        self._position = position
+        # Virtual time, in intervals between two choices of an endpoint with weight 1.
+        self._due_times: dict[str, float] = {}
+        self._virtual_time = 0.0
 
     def update_endpoints(self, weights: Mapping[str, float]) -> None:
-        """Take a new list; endpoints that stay keep their position between two turns."""
+        """Replace the endpoint list; endpoints that are still listed keep their part of an interval left."""
         previous = self.subset
         self.weights = {name: max(0.0, weight) for name, weight in weights.items()}
-        self.subset = subset_by_weight(self.weights, *self._place) if self._place else self.weights
-        next_turns: dict[str, float] = {}
+        self.subset = subset_by_weight(self.weights, *self._position) if self._position else self.weights
+        due_times: dict[str, float] = {}
         for name, weight in self.subset.items():
             if weight <= 0.0:
                 continue
             if previous.get(name, 0.0) > 0.0:
-                remaining = max(0.0, self._next_turns[name] - self._current_turn) * previous[name]
+                remaining = max(0.0, self._due_times[name] - self._virtual_time) * previous[name]
             else:
                 remaining = self._random.random()
-            next_turns[name] = self._current_turn + remaining / weight
-        self._next_turns = next_turns
+            due_times[name] = self._virtual_time + remaining / weight
+        self._due_times = due_times
 
     def choose(self, tried: Collection[str] = (), excluded: Collection[str] = ()) -> str | None:
-        """Return the endpoint for an attempt, or None where there is none.
+        """Return the endpoint for an attempt, or None if all endpoints were tried or are excluded.
 
-        Past its subset, a caller draws by weight; where no endpoint has any, all are alike.
+        If the subset has no endpoint left, the choice among all endpoints is random by weight.
         """
-        candidates = [name for name in self._next_turns if name not in tried and name not in excluded]
+        candidates = [name for name in self._due_times if name not in tried and name not in excluded]
         if candidates:
-            name = min(candidates, key=self._next_turns.__getitem__)
-            # An endpoint that was excluded is late: it takes one turn now, and the next like any other.
-            self._current_turn = max(self._current_turn, self._next_turns[name])
-            self._next_turns[name] = self._current_turn + 1.0 / self.subset[name]
+            name = min(candidates, key=self._due_times.__getitem__)
+            # An endpoint that was excluded may be due in the past: it is chosen once now, and then again at
+            # the usual interval.
+            self._virtual_time = max(self._virtual_time, self._due_times[name])
+            self._due_times[name] = self._virtual_time + 1.0 / self.subset[name]
             return name
-        others = {
+        untried_weights = {
             name: weight
             for name, weight in self.weights.items()
             if name not in tried and name not in excluded
         }
-        return draw_by_weight(self._random, others) if others else None
+        return draw_by_weight(self._random, untried_weights) if untried_weights else None
 
 
 def draw_by_weight(rng: random.Random, weights: Mapping[str, float]) -> str:
-    """Return a name drawn by weight; where none has any, all are alike."""
+    """Return a random name by weight, or with equal probabilities if no weight is positive."""
     names = list(weights)
     values = list(weights.values())
     return rng.choices(names, values if sum(values) > 0.0 else None)[0]
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -49,7 +49,7 @@
 def test_fast_failures_do_not_attract_traffic() -> None:
     balancer = balancer_with(NAMES[:10])
     picked = [attempt(balancer, at * 50.0, {"n3": 2.0}, {"n3": "failed"}) for at in range(400)]
-    assert picked.count("n3") <= outlier_detection.CONSECUTIVE_FAILURES + 8 and picked[-20:].count("n3") <= 2
+    assert picked.count("n3") <= outlier_detection.FAILURES_TO_EJECT + 8 and picked[-20:].count("n3") <= 2
 
 
 def test_slow_endpoint_gets_less_until_its_observation_is_old() -> None:
@@ -141,7 +141,7 @@
 
 def test_ejected_endpoint_returns_by_one_attempt_and_is_ejected_longer_if_it_fails() -> None:
     detector, now = OutlierDetector(random.Random(1)), 0.0
-    for _ in range(outlier_detection.CONSECUTIVE_FAILURES):
+    for _ in range(outlier_detection.FAILURES_TO_EJECT):
         detector.note_end(now, "n1", True, 10)
     assert detector.state(now, "n1") == EndpointState.EJECTED and not detector.allows_attempt(now, "n1")
     spans = []
@@ -172,7 +172,7 @@
     for at in range(8):
         balancer.note_sent(1000.0 * at, "n2")
         balancer.note_end(1000.0 * at, "n2", 1.0, "refused")
-        waits.append(balancer.estimates["n2"].retry_after_ms - 1000.0 * at)
+        waits.append(balancer.estimates["n2"].not_before_ms - 1000.0 * at)
     assert max(waits[:2]) <= 100.0 < max(waits[3:]) <= 1000.0
 
 
