--- a/spindlerelay/backends/__init__.py
+++ b/spindlerelay/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of a node's backends: interpreter, shared store and discovery service."""
+"""Clients of a node's backends: the interpreter, the shared store and the announce service."""
--- a/spindlerelay/backends/discovery_client.py
+++ b/spindlerelay/backends/discovery_client.py
@@ -1,6 +1,7 @@
-"""Reports to the discovery service: one datagram per report, without a response.
+"""Reports to the announce service: one datagram per report, without a response.
 
-Owns the schedule of the reports and the wire format. Must not know what makes a node accept requests.
+Owns the schedule of the reports and the wire format. Must not depend on the conditions under which a node
+accepts requests.
 """
 
 from __future__ import annotations
@@ -9,10 +10,9 @@
 
 from spindlerelay.transport.event_loop import EventLoop
 
-REPORT_INTERVAL_MS = 250.0  # an entry expires 3 s after its last report
-CHANGE_REPEAT_INTERVAL_MS = (
-    20.0  # a change is reported three times at this interval, since a datagram may get lost
-)
+REPORT_INTERVAL_MS = 250.0  # a node's entry expires 3 s after the last report
+# A change is reported three times at this interval, since a datagram may get lost.
+CHANGE_REPEAT_INTERVAL_MS = 20.0
 
 
 def encode(name: str, accepting: bool) -> bytes:
@@ -21,10 +21,10 @@
 
 
 class DiscoveryClient:
-    """Reports from ``start`` on, at every change and before the entry expires.
+    """Reports from ``start`` on, at each change and often enough that the node's entry does not expire.
 
-    The first report comes after a random part of one period: otherwise nodes whose interpreters come up at
-    one instant would report in step from then on. The entry itself is valid from that instant on.
+    The first report is sent after a random part of one interval. Otherwise nodes whose interpreters start at
+    the same time would send all their reports at the same times. The entry is valid from the first report on.
     """
 
     def __init__(self, loop: EventLoop, address: tuple[str, int], name: str) -> None:
@@ -36,26 +36,26 @@
         self._socket = loop.system.datagram_socket()
 
     def start(self) -> None:
-        """Begin to report; nothing happens the second time."""
+        """Start to report; a second call has no effect."""
         if not self.reporting:
             self.reporting = True
             self.loop.call_later(self.loop.random.uniform(0.0, REPORT_INTERVAL_MS), self._report_periodically)
 
     def set_accepting(self, accepting: bool) -> None:
-        """Set whether the node accepts requests, and report a change at once."""
+        """Set whether the node accepts requests; a change is reported at once."""
         if accepting != self.accepting:
             self.accepting = accepting
             self._report_change()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Send reports to another address from the next one on.
+        """Send the next and all later reports to another address.
 
-        A whole fleet may be reconfigured at one instant, so no extra report is sent.
+        No extra report is sent, since a whole fleet may be reconfigured at the same time.
         """
         self.address = address
 
     def stop(self) -> None:
-        """End the reports: another process of this name reports from now on."""
+        """Stop the reports, when another process takes over the node's name."""
         self.reporting = False
 
     def _report_change(self) -> None:
@@ -72,5 +72,5 @@
     def _report(self) -> None:
         if not self.reporting:
             return
-        with contextlib.suppress(OSError):  # while the service is down, no entry expires
+        with contextlib.suppress(OSError):  # entries do not expire while the service is down
             self._socket.sendto(encode(self.name, self.accepting), self.address)
--- a/spindlerelay/backends/interpreter_client.py
+++ b/spindlerelay/backends/interpreter_client.py
@@ -1,10 +1,11 @@
 """The persistent connection to the interpreter.
 
-The connection may break at any time while runs go on. Notices are numbered, so a new connection replays those
-that were not read. Commands are not, so each is stored until it is known to have been read, and sent again on
-a new connection once the replay is complete: the replay shows which ones had arrived after all.
+The connection may break at any time while runs continue. Notices are numbered, so on a new connection the
+interpreter replays the notices that were not read. Commands are not numbered, so a command is stored until it
+is known to have been read, and sent again on a new connection once the replay is complete: the replayed
+notices show which commands the interpreter had read before.
 
-Owns the connection and its replay. Must not know what the node does with a notice.
+Owns the connection and the replay. Must not depend on what the node does with a notice.
 """
 
 from __future__ import annotations
@@ -33,18 +34,18 @@
 from spindlerelay.transport.line_protocol import LineDecoder, LineProtocolError
 from spindlerelay.transport.timer_wheel import Timer
 
-# Names that other packages still import from here.
 RECONNECT_INITIAL_MS = 20.0
 RECONNECT_MAX_MS = 500.0
 REPLAY_PROBE_INTERVAL_MS = 200.0
 SILENCE_TIMEOUT_MS = 1500.0  # gauges are requested several times per second
-STARTUP_SILENCE_TIMEOUT_MS = 10000.0  # an interpreter that starts late holds its first banner back
-STARTUP_TIMEOUT_JITTER = 0.5  # so that nodes which started at one instant do not reconnect at one
+STARTUP_SILENCE_TIMEOUT_MS = 10000.0  # an interpreter that starts late delays its first banner
+# Jitter, as a fraction of the timeout: nodes that started together must not reconnect at the same time.
+STARTUP_TIMEOUT_JITTER = 0.5
 SILENCE_CHECKS_PER_TIMEOUT = 4
 
 
 class LinkState(Enum):
-    """What the link to the interpreter is doing."""
+    """The state of the connection to the interpreter."""
 
     DISCONNECTED = "disconnected"
     CONNECTING = "connecting"
@@ -61,9 +62,10 @@
 
 
 class InterpreterClient:
-    """The link to the interpreter. ``on_notice`` gets every notice about a run once, in order.
+    """The client of the interpreter.
 
-    The other callback gets each banner. Commands may be given at any time; they reach the interpreter once.
+    ``on_notice`` receives every notice about a run once, in order; ``on_started`` receives each banner.
+    Commands may be given at any time; the interpreter receives each command, and executes it once.
     """
 
     def __init__(
@@ -78,18 +80,16 @@
         self.on_notice = on_notice
         self.on_started = on_started
         self.gauges: tuple[float, ...] = ()
-        self.gauges_tag = ""  # of the newest gauges
+        self.gauges_tag = ""  # tag of the newest gauges
         self.interpreter_has_started = False  # a banner has arrived since this process started
-        self.interpreter_started_at_ms = (
-            0.0  # Unix ms at which the interpreter itself started, from its banner
-        )
+        self.interpreter_started_at_ms = 0.0  # Unix time of the interpreter's own start, from its banner
         self._state = LinkState.DISCONNECTED
         self._unsynchronized_since_ms = self.loop.now()
         self._connection: Connection | None = None
         self._connection_number = 0
         self._decoder = LineDecoder(block_length)
         self._backoff = Backoff(RECONNECT_INITIAL_MS, RECONNECT_MAX_MS, loop.random)
-        self._last_notice = 0  # sequence number of the newest notice that was read
+        self._last_sequence_number = 0  # sequence number of the newest notice that was read
         self._commands = UnacknowledgedCommands()
         self._replay_probe_tag = ""
         self._replay_probe_timer: Timer | None = None
@@ -101,52 +101,53 @@
         loop.call_later(SILENCE_TIMEOUT_MS / SILENCE_CHECKS_PER_TIMEOUT, self._check_silence)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Connect to another address, where notices and commands continue as after a broken connection."""
+        """Connect to another address; notices and commands continue as after a lost connection."""
         self.address = address
         self._backoff.reset()
         self._connect()
 
     def unavailable_ms(self) -> float:
-        """Return for how long the link has not been synchronized, 0 while it is."""
+        """Return for how long the connection has not been synchronized, or 0 while it is synchronized."""
         if self._state is LinkState.SYNCHRONIZED:
             return 0.0
         return self.loop.now() - self._unsynchronized_since_ms
 
     def start_run(self, call_id: str, class_name: str, body: bytes) -> None:
-        """Start a run of the request."""
+        """Start the run of a request."""
         self._send(call_id, protocol.encode_start_run(call_id, class_name, body))
 
     def deliver_call_response(self, call_id: str, response: bytes) -> None:
-        """Hand a run the response of its dependency call."""
+        """Deliver the response of a run's dependency call."""
         self._send(call_id, protocol.encode_call_response(call_id, response))
 
-    def skip_call(self, call_id: str, number: int) -> None:
-        """Let a run go on without the dependency call that the notice of this number requested."""
-        self._send(call_id, protocol.encode_skip_call(call_id, number))
+    def skip_call(self, call_id: str, sequence_number: int) -> None:
+        """Continue a run without the dependency call that a notice has requested."""
+        self._send(call_id, protocol.encode_skip_call(call_id, sequence_number))
 
     def cancel_run(self, call_id: str) -> None:
-        """Cancel a run in the way that the settings name; a notice reports its end."""
+        """Cancel a run as the settings of the interpreter specify; a notice reports the end of the run."""
         self._send(call_id, protocol.encode_cancel_run(call_id))
 
     def request_gauges(self) -> str:
-        """Request the gauges; return the tag under which they will arrive, empty while not synchronized."""
+        """Request the gauges and return the tag of the response, or "" while not synchronized."""
         if self._state is not LinkState.SYNCHRONIZED or not self._connection:
             return ""
-        # With the number of the newest command: the response proves that all up to it were read.
+        # The tag has the number of the newest command: a response proves that all commands up to it were
+        # read.
         tag = f"t{self._connection_number}-{self._commands.last_number}"
         self._connection.write(protocol.encode_gauges_request(tag))
         return tag
 
-    def _send(self, call: str, data: bytes) -> None:
-        self._commands.add(call, data)
+    def _send(self, call_id: str, data: bytes) -> None:
+        self._commands.add(call_id, data)
         if self._state is LinkState.SYNCHRONIZED and self._connection:
             self._connection.write(data)
 
     def _connect(self) -> None:
-        """Replace the connection; callbacks of the old one are recognized by its number."""
+        """Replace the connection; late callbacks of the old one are recognized by its number."""
         self._connection_number += 1
         number = self._connection_number
-        old = self._connection
+        previous = self._connection
         if self._reconnect_timer:
             self._reconnect_timer.cancel()
         if self._replay_probe_timer:
@@ -162,8 +163,8 @@
             lambda established: self._on_close(number, established),
             self._on_open,
         )
-        if old:
-            old.close()
+        if previous:
+            previous.close()
 
     def _lose_synchronization(self, state: LinkState) -> None:
         if self._state is LinkState.SYNCHRONIZED:
@@ -175,7 +176,7 @@
         self._state = state
 
     def _check_silence(self) -> None:
-        """Replace a connection that is open and silent."""
+        """Replace a connection on which no data has arrived for the timeout."""
         self.loop.call_later(SILENCE_TIMEOUT_MS / SILENCE_CHECKS_PER_TIMEOUT, self._check_silence)
         timeout_ms = SILENCE_TIMEOUT_MS if self.interpreter_has_started else self._startup_timeout_ms
         if self._connection and self.loop.now() - self._last_data_at_ms > timeout_ms:
@@ -185,7 +186,7 @@
     def _on_open(self) -> None:
         assert self._connection
         self._enter(LinkState.REPLAYING)
-        self._connection.write(protocol.encode_connect(self._last_notice))
+        self._connection.write(protocol.encode_connect(self._last_sequence_number))
 
     def _on_close(self, number: int, established: bool) -> None:
         if number != self._connection_number:
@@ -195,7 +196,7 @@
         if self._replay_probe_timer:
             self._replay_probe_timer.cancel()
         if established:
-            self.loop.warnings.warn("interpreter connection lost", "runs go on, reconnecting")
+            self.loop.warnings.warn("interpreter connection lost", "runs continue, reconnecting")
         self._reconnect_timer = self.loop.call_later(self._backoff.next_delay_ms(), self._connect)
 
     def _on_data(self, data: bytes) -> None:
@@ -228,21 +229,24 @@
         self.on_started(banner)
 
     def _probe_replay(self) -> None:
-        """Request gauges, whose response marks the end of the replay; again while there is no response.
+        """Request gauges, whose response marks the end of the replay; repeat until the response arrives.
 
-        Not before the banner: an interpreter that comes up late drops what was written to it before.
+        The first request must follow the banner, since an interpreter that starts late drops all earlier
+        input.
         """
         if self._connection and self._state is not LinkState.SYNCHRONIZED:
             self._connection.write(protocol.encode_gauges_request(self._replay_probe_tag))
             self._replay_probe_timer = self.loop.call_later(REPLAY_PROBE_INTERVAL_MS, self._probe_replay)
 
     def _on_numbered_notice(self, notice: RunFinished | CallRequested | TraceNotice) -> None:
-        if notice.sequence_number <= self._last_notice:
-            return  # a replay may repeat what was read
-        if notice.sequence_number > self._last_notice + 1:
-            # Those in between were lost with an older connection: only another replay brings them.
-            raise LineProtocolError(f"notice {notice.sequence_number} follows notice {self._last_notice}")
-        self._last_notice = notice.sequence_number
+        if notice.sequence_number <= self._last_sequence_number:
+            return  # a replay may repeat notices that were read
+        if notice.sequence_number > self._last_sequence_number + 1:
+            # The notices in between were lost with an older connection; only another replay delivers them.
+            raise LineProtocolError(
+                f"notice {notice.sequence_number} follows notice {self._last_sequence_number}"
+            )
+        self._last_sequence_number = notice.sequence_number
         if not isinstance(notice, TraceNotice):
             self._commands.acknowledge_request(notice.call_id)
             self.on_notice(notice)
@@ -259,9 +263,9 @@
             self._commands.acknowledge_up_to(int(command_number))
 
     def _on_replay_complete(self) -> None:
-        """Send the commands again that were not read; a run that was started is not started again by one."""
+        """Send the commands again that were not read; none of them starts a run that was started before."""
         self._enter(LinkState.SYNCHRONIZED)
-        self._backoff.reset()  # not at the banner: a malformed line in the replay would come again
+        self._backoff.reset()  # not at the banner, as a malformed line in the replay would recur
         for data in self._commands:
             if self._connection:
                 self._connection.write(data)
--- a/spindlerelay/backends/interpreter_protocol.py
+++ b/spindlerelay/backends/interpreter_protocol.py
@@ -1,6 +1,7 @@
-"""Codec of the interpreter's protocol: notices to events, commands to bytes.
+"""Codec of the interpreter's protocol: decodes notices and encodes commands.
 
-Pure. The protocol's verbs stay in this module; everything else uses the typed events and the encoders.
+Pure. Only this module contains the verbs of the protocol; other modules use the typed notices and the
+encoders.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from spindlerelay.transport.line_protocol import LineProtocolError
 
 MAX_NUMBER_DIGITS = 18
-MAX_QUOTED_WORD = 20  # characters of a malformed word, in an error text
-MAX_QUOTED_LINE = 60  # the same of a line
+MAX_QUOTED_WORD = 20  # characters of a malformed word that an error quotes
+MAX_QUOTED_LINE = 60  # characters of a malformed line that an error quotes
 RUN_FINISHED_WORDS = 6
 CALL_REQUESTED_WORDS = 4
 
 
 class RunEnd(StrEnum):
-    """How a run ended; the values are the protocol's words."""
+    """How a run ended; the values are words of the protocol."""
 
     COMPLETED = "fine"
     FAILED = "fault"
@@ -31,14 +32,14 @@
 
 
 class InterpreterStarted(NamedTuple):
-    """The interpreter has accepted the connection: its state, and for how long it has been up in ms."""
+    """The interpreter has accepted a connection and reports its state and its uptime."""
 
     state: str
     uptime_ms: float
 
 
 class RunFinished(NamedTuple):
-    """A run has finished; ``end`` is a value of ``RunEnd``."""
+    """A run has ended; ``end`` is a value of ``RunEnd``."""
 
     sequence_number: int
     call_id: str
@@ -48,7 +49,7 @@
 
 
 class CallRequested(NamedTuple):
-    """A run waits for a dependency call, with ``body`` as the call's request."""
+    """A run waits for a dependency call with the request body ``body``."""
 
     sequence_number: int
     call_id: str
@@ -56,21 +57,21 @@
 
 
 class GaugesReported(NamedTuple):
-    """The gauges that were requested under ``tag``."""
+    """The response to the gauges request with this tag."""
 
     tag: str
     gauges: tuple[float, ...]
 
 
 class CommandRejected(NamedTuple):
-    """A command was not carried out. ``command`` is the protocol's verb."""
+    """The interpreter has rejected a command; ``command`` is the verb in the protocol."""
 
     command: str
     call_id: str
 
 
 class TraceNotice(NamedTuple):
-    """A numbered notice without meaning for the node."""
+    """A numbered notice that the node ignores, apart from its number."""
 
     sequence_number: int
 
@@ -79,7 +80,7 @@
 
 
 def block_length(words: list[str]) -> int | None:
-    """Return the length of the block that follows a line, None where none does."""
+    """Return the length of the block that follows a line, or None if no block follows."""
     if words[0] == "VALUE" and len(words) == RUN_FINISHED_WORDS:
         return line_protocol.parse_length(words[-1])
     if words[0] == "AWAIT" and len(words) == CALL_REQUESTED_WORDS:
@@ -88,58 +89,62 @@
 
 
 def decode(words: list[str], block: bytes) -> Notice:
-    """Return one message of the interpreter; LineError where it is malformed."""
+    """Return the notice in a line and its block.
+
+    Raises:
+        LineProtocolError: the line is not a valid notice.
+    """
     match words:
-        case ["VALUE", number, call, end, took, _]:
-            return RunFinished(_integer(number), call, _run_end(end), _number(took), block)
-        case ["AWAIT", number, call, _]:
-            return CallRequested(_integer(number), call, block)
+        case ["VALUE", sequence_number, call_id, end, duration_ms, _]:
+            return RunFinished(_integer(sequence_number), call_id, _run_end(end), _number(duration_ms), block)
+        case ["AWAIT", sequence_number, call_id, _]:
+            return CallRequested(_integer(sequence_number), call_id, block)
         case ["TOPS", tag, *gauges]:
             return GaugesReported(tag, tuple(map(_number, gauges)))
-        case ["BANNER", state, age]:
-            return InterpreterStarted(state, _number(age))
-        case ["ERROR", command, call]:
-            return CommandRejected(command, call)
+        case ["BANNER", state, uptime_ms]:
+            return InterpreterStarted(state, _number(uptime_ms))
+        case ["ERROR", command, call_id]:
+            return CommandRejected(command, call_id)
         case ["ERROR", command]:
             return CommandRejected(command, "")
-        case ["TRACE", number, *_]:
-            return TraceNotice(_integer(number))
-    raise LineProtocolError(f"not a notice: {' '.join(words)[:MAX_QUOTED_LINE]!r}")
+        case ["TRACE", sequence_number, *_]:
+            return TraceNotice(_integer(sequence_number))
+    raise LineProtocolError(f"invalid notice: {' '.join(words)[:MAX_QUOTED_LINE]!r}")
 
 
-def encode_connect(last_number: int) -> bytes:
-    """Return the command that opens a connection and requests the notices after ``last_number``."""
-    return line_protocol.encode_message("CONNECT", last_number)
+def encode_connect(last_sequence_number: int) -> bytes:
+    """Return the command that opens a connection and requests all notices after a sequence number."""
+    return line_protocol.encode_message("CONNECT", last_sequence_number)
 
 
-def encode_start_run(call: str, class_name: str, body: bytes) -> bytes:
+def encode_start_run(call_id: str, class_name: str, body: bytes) -> bytes:
     """Return the command that starts a run."""
-    return line_protocol.encode_message("APPLY", call, class_name, block=body)
+    return line_protocol.encode_message("APPLY", call_id, class_name, block=body)
 
 
-def encode_call_response(call: str, response: bytes) -> bytes:
-    """Return the command that hands a run the response of its dependency call."""
-    return line_protocol.encode_message("RESOLVE", call, block=response)
+def encode_call_response(call_id: str, response: bytes) -> bytes:
+    """Return the command that delivers the response of a run's dependency call."""
+    return line_protocol.encode_message("RESOLVE", call_id, block=response)
 
 
-def encode_skip_call(call: str, number: int) -> bytes:
-    """Return the command that lets a run go on without the call that the notice of this number requested."""
-    return line_protocol.encode_message("STUB", call, number)
+def encode_skip_call(call_id: str, sequence_number: int) -> bytes:
+    """Return the command that continues a run without the call that a notice has requested."""
+    return line_protocol.encode_message("STUB", call_id, sequence_number)
 
 
-def encode_cancel_run(call: str) -> bytes:
+def encode_cancel_run(call_id: str) -> bytes:
     """Return the command that cancels a run."""
-    return line_protocol.encode_message("BREAK", call)
+    return line_protocol.encode_message("BREAK", call_id)
 
 
 def encode_gauges_request(tag: str) -> bytes:
-    """Return the command that requests the gauges under ``tag``."""
+    """Return the command that requests the gauges; the response carries ``tag``."""
     return line_protocol.encode_message("TOP", tag)
 
 
 def _integer(word: str) -> int:
     if not word.isascii() or not word.isdigit() or len(word) > MAX_NUMBER_DIGITS:
-        raise LineProtocolError(f"bad number {word[:MAX_QUOTED_WORD]!r}")
+        raise LineProtocolError(f"invalid integer {word[:MAX_QUOTED_WORD]!r}: expected 1 to 18 digits")
     return int(word)
 
 
@@ -147,14 +152,14 @@
     try:
         value = float(word)
     except ValueError:
-        raise LineProtocolError(f"bad figure {word[:MAX_QUOTED_WORD]!r}") from None
+        raise LineProtocolError(f"invalid number {word[:MAX_QUOTED_WORD]!r}: expected a decimal") from None
     if not 0.0 <= value < float("inf"):
-        raise LineProtocolError(f"bad figure {word[:MAX_QUOTED_WORD]!r}")
+        raise LineProtocolError(f"invalid number {word[:MAX_QUOTED_WORD]!r}: expected 0 or more, finite")
     return value
 
 
 def _run_end(word: str) -> RunEnd:
     end = RUN_ENDS.get(word)
     if end is None:
-        raise LineProtocolError(f"unknown end {word[:MAX_QUOTED_WORD]!r}")
+        raise LineProtocolError(f"unknown end of a run: {word[:MAX_QUOTED_WORD]!r}")
     return end
--- a/spindlerelay/backends/store_channel.py
+++ b/spindlerelay/backends/store_channel.py
@@ -1,7 +1,8 @@
 """One connection to the shared store, and the calls that it carries.
 
-Owns the connection from before it is opened. Must not know how calls are spread over channels, nor their
-timeouts: its owner does.
+Owns the connection, from the backoff before connecting until it is closed. Must not depend on the
+distribution of calls over channels or on the timeouts of calls, for which the owner of the channel is
+responsible.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from spindlerelay.transport.event_loop import EventLoop
 from spindlerelay.transport.line_protocol import LineDecoder, LineProtocolError
 
-IDLE_TIMEOUT_MS = 75.0  # the store was seen to forget idle connections after 100 ms
+IDLE_TIMEOUT_MS = 75.0  # the store was seen to drop idle connections after 100 ms
 STALLED_REPLY_TIMEOUT_MS = 500.0
-REMEMBERED_CALLS = 64  # a duplicate of a reply follows the first closely
+MAX_RECENT_CALLS = 64  # a duplicate reply follows the first reply closely
 
 
 class ChannelState(Enum):
-    """What a channel is doing."""
+    """The state of a channel."""
 
-    WAITING = "waiting"  # for the backoff before it connects
+    WAITING = "waiting"  # the backoff before connecting is not over
     CONNECTING = "connecting"
     OPEN = "open"
     DRAINING = "draining"  # carries no new calls, may still receive replies
@@ -38,35 +39,38 @@
     ChannelState.DRAINING: frozenset({ChannelState.CLOSED}),
     ChannelState.CLOSED: frozenset(),
 }
-ESTABLISHED = frozenset({ChannelState.OPEN, ChannelState.DRAINING})
+ESTABLISHED_STATES = frozenset({ChannelState.OPEN, ChannelState.DRAINING})
 
 
 class ChannelOwner(Protocol):
-    """What a channel needs of the client that it belongs to."""
+    """The interface of a channel to the client that owns it."""
 
     loop: EventLoop
     address: tuple[str, int]
 
     def on_channel_open(self) -> None:
-        """Note that a connection was established."""
+        """Note that the connection of a channel was established."""
         ...
 
     def on_reply(self, reply: StoreReply) -> None:
-        """Take the reply of a call that the channel carried."""
+        """Handle the reply to a call of a channel."""
         ...
 
-    def on_channel_closed(self, channel: Channel, calls: list[str], established: bool) -> None:
-        """Take back the calls that had no reply; called once."""
+    def on_channel_closed(self, channel: Channel, call_ids: list[str], established: bool) -> None:
+        """Handle the end of a channel and its calls without a reply; called once per channel.
+
+        ``established`` is False if the connection was never established.
+        """
         ...
 
 
 class Channel:
-    """A connection to the store; all calls on it share its end."""
+    """A connection to the store; if it breaks, all its calls without a reply end with it."""
 
     def __init__(self, owner: ChannelOwner) -> None:
         self.owner = owner
-        self.calls: dict[str, bytes] = {}  # without a reply, each with the bytes to write
-        self.recent_calls: deque[str] = deque(maxlen=REMEMBERED_CALLS)
+        self.calls: dict[str, bytes] = {}  # calls without a reply, by call id: the encoded commands
+        self.recent_call_ids: deque[str] = deque(maxlen=MAX_RECENT_CALLS)
         self.state = ChannelState.WAITING
         self.last_used_ms = owner.loop.now()
         self._decoder = LineDecoder(store_protocol.block_length)
@@ -75,57 +79,57 @@
     @property
     def is_open(self) -> bool:
         """Whether the connection is established."""
-        return self.state in ESTABLISHED
+        return self.state in ESTABLISHED_STATES
 
     def connect(self) -> None:
-        """Begin to connect; nothing happens once the channel is closed."""
+        """Start to connect; no effect after the channel was closed."""
         if self._enter(ChannelState.CONNECTING):
             loop = self.owner.loop
             self._connection = connect(loop, self.owner.address, self._on_data, self._on_close, self._on_open)
 
-    def call(self, call: str, data: bytes) -> None:
-        """Carry a call; ``data`` is written at once, or when the connection is established."""
-        self.calls[call] = data
-        self.recent_calls.append(call)
+    def call(self, call_id: str, data: bytes) -> None:
+        """Send the command ``data`` of a call, at once or when the connection is established."""
+        self.calls[call_id] = data
+        self.recent_call_ids.append(call_id)
         self.last_used_ms = self.owner.loop.now()
-        if self._connection and self.state in ESTABLISHED:
+        if self._connection and self.state in ESTABLISHED_STATES:
             self._connection.write(data)
 
-    def cancel(self, call: str) -> None:
-        """Give up a call without a reply, and tell the store."""
-        if self.calls.pop(call, None) and self._connection and self.state in ESTABLISHED:
-            self._connection.write(store_protocol.encode_cancel(call))
+    def cancel(self, call_id: str) -> None:
+        """Remove a call without a reply, and send its cancellation if the connection is established."""
+        if self.calls.pop(call_id, None) and self._connection and self.state in ESTABLISHED_STATES:
+            self._connection.write(store_protocol.encode_cancel(call_id))
         self._close_if_drained()
 
     def drain(self) -> None:
-        """Carry no new calls, and close once those in flight are over."""
+        """Accept no new calls, and close when no calls are in flight."""
         self._enter(ChannelState.DRAINING)
         self._close_if_drained()
 
     def is_usable(self) -> bool:
-        """Return whether a new call may be placed here: not draining, and in use or not idle for long."""
+        """Return whether the channel may carry a new call: not draining, and in use or only just idle."""
         if self.state is ChannelState.DRAINING:
             return False
         return bool(self.calls) or self.owner.loop.now() - self.last_used_ms <= IDLE_TIMEOUT_MS
 
     def check_timeouts(self, now_ms: float) -> None:
-        """Close the channel where a reply is stalled half way, or where it is idle for long."""
-        unused_ms = now_ms - self.last_used_ms
-        if self._decoder.is_mid_message and unused_ms > STALLED_REPLY_TIMEOUT_MS:
+        """Close the channel if a reply has stalled half way, or if the channel is idle for too long."""
+        since_last_use_ms = now_ms - self.last_used_ms
+        if self._decoder.is_mid_message and since_last_use_ms > STALLED_REPLY_TIMEOUT_MS:
             self._warn_malformed("a reply that stopped half way")
             self.close()
-        elif not self.calls and unused_ms > IDLE_TIMEOUT_MS:
+        elif not self.calls and since_last_use_ms > IDLE_TIMEOUT_MS:
             self.close()
 
     def close(self) -> None:
-        """Close the connection and hand the calls in flight back to the owner."""
+        """Close the connection and return the calls in flight to the owner."""
         if self._connection:
             self._connection.close()
         else:
             self._on_close(False)
 
     def _enter(self, state: ChannelState) -> bool:
-        """Return whether the state changed: not where the current one has no such transition."""
+        """Change the state if the current one allows the transition; return whether the state changed."""
         if state not in TRANSITIONS[self.state]:
             return False
         self.state = state
@@ -144,16 +148,16 @@
 
     def _on_close(self, established: bool) -> None:
         if self._enter(ChannelState.CLOSED):
-            calls = list(self.calls)
+            call_ids = list(self.calls)
             self.calls = {}
-            self.owner.on_channel_closed(self, calls, established)
+            self.owner.on_channel_closed(self, call_ids, established)
 
     def _on_data(self, data: bytes) -> None:
         self.last_used_ms = self.owner.loop.now()
         try:
             for words, block in self._decoder.feed(data):
                 reply = store_protocol.decode(words, block)
-                if self.calls.pop(reply.call_id, None):  # otherwise cancelled, unknown here, or a duplicate
+                if self.calls.pop(reply.call_id, None):  # else cancelled, unknown, or a duplicate
                     self.owner.on_reply(reply)
             self._close_if_drained()
         except LineProtocolError as error:
