--- a/spindlerelay/dependencies/call_estimates.py
+++ b/spindlerelay/dependencies/call_estimates.py
@@ -32,9 +32,8 @@
 
     def __init__(self, class_count: int) -> None:
         self._mean_ms = [0.0] * class_count
-        self._resumed_runs: dict[
-            str, tuple[int, float]
-        ] = {}  # by call id: class index and time of the result
+        # By call id: class index, and time at which the run continued with the result of the call.
+        self._resumed_runs: dict[str, tuple[int, float]] = {}
 
     def mean_ms(self, class_index: int) -> float:
         """Return the mean of a class, or 0 before the first run of the class has ended."""
--- a/spindlerelay/dependencies/circuit_breaker.py
+++ b/spindlerelay/dependencies/circuit_breaker.py
@@ -45,7 +45,7 @@
     """The kinds of call outcomes that the breaker distinguishes."""
 
     SUCCESS = "success"
-    FAILURE = "failure"  # no complete response, or a response that came too late
+    FAILURE = "failure"  # timeout, slow call, overload response, or broken or refused connection
     ERROR_RESPONSE = "error response"  # the request itself may be the cause
 
 
--- a/spindlerelay/dependencies/concurrency_limits.py
+++ b/spindlerelay/dependencies/concurrency_limits.py
@@ -21,14 +21,15 @@
 from typing import Protocol
 
 DECREASE_FACTOR = 0.7
-MIN_DECREASE_INTERVAL = 1.0  # in mean call durations; drops within this interval have one cause
+MIN_DECREASE_INTERVAL = 1.0  # in mean call durations; drops within the interval have a common cause
 IN_USE_FRACTION = 0.5  # a success raises the limit only if this part of the limit was in flight
-INITIAL_FRACTION = 0.5  # of the maximum
-# Part of the maximum after the breaker closes, since all nodes resume their calls at about the same time.
+INITIAL_FRACTION = 0.5  # initial limit, as a fraction of the maximum
+# Limit after the breaker closes, as a fraction of the maximum. It is low because all nodes resume their calls
+# at about the same time.
 RESTART_FRACTION = 0.25
 SHORT_TERM_SMOOTHING = 0.2
 LONG_TERM_SMOOTHING = 0.01
-# Factor on the long-term mean latency, at each call, while it is over twice the short-term mean.
+# Factor on the long-term mean latency at each call, while that mean is over twice the short-term mean.
 LONG_TERM_CORRECTION = 0.95
 # Factor on the base latency at each call, so that a lasting slowdown becomes the new base latency.
 BASE_LATENCY_GROWTH = 1.001
--- a/spindlerelay/dependencies/metrics.py
+++ b/spindlerelay/dependencies/metrics.py
@@ -36,7 +36,7 @@
 
 
 class LogSink:
-    """Writes metrics to the log, also as structured fields; counters as increments since the last line."""
+    """Logs metrics as text and structured fields; counters appear as increments since the last line."""
 
     def __init__(self) -> None:
         self._published_counts: dict[str, dict[str, int]] = {}
--- a/spindlerelay/routing/load_balancer.py
+++ b/spindlerelay/routing/load_balancer.py
@@ -11,8 +11,8 @@
 A caller with a position uses its subset of the ring (``subsetting.subset_by_weight``). Few callers share an
 endpoint then, so the caller's attempts in flight are most of the endpoint's load. The caller uses endpoints
 outside its subset if no endpoint in the subset accepts an attempt. An endpoint that sent Retry-After gets no
-attempts until then, an endpoint that fails is ejected for a while, and the weight of a new endpoint grows
-slowly (slow start), unless most endpoints are new.
+attempts until that time is over, an endpoint that fails is temporarily ejected, and the weight of a new
+endpoint grows slowly (slow start), unless most endpoints are new.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 INITIAL_SLOW_START_FACTOR = 0.1
 MAX_SLOW_START_FRACTION = 0.5  # if a larger part of the candidates is new, no candidate starts slowly
 EMPTY_LIST_GRACE_MS = 30_000.0  # an empty endpoint list is ignored for this time
-MIN_RELATIVE_COST = 0.4  # of the mean; a lower cost attracts all callers with the same observation
+MIN_RELATIVE_COST = 0.4  # relative to the mean; less would attract all callers with one observation
 INITIAL_REJECTION_BACKOFF_MS = 50.0  # used without Retry-After; doubled by each consecutive rejection
 MAX_REJECTION_BACKOFF_MS = 1000.0
 MAX_COUNTED_REJECTIONS = 8
--- a/spindlerelay/routing/outlier_detection.py
+++ b/spindlerelay/routing/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: ejects endpoints that fail for a while, up to a fraction of all endpoints.
+"""Outlier detection: temporarily ejects endpoints that fail, up to a fraction of all endpoints.
 
 Pure: times are passed in, in ms.
 
--- a/spindlerelay/routing/subsetting.py
+++ b/spindlerelay/routing/subsetting.py
@@ -68,7 +68,7 @@
     _check_caller(number, callers)
     ring = _ring([name for name in weights if weights[name] > 0.0])
     ring_length = sum(weights[name] for name in ring)
-    caller_length = ring_length * min(1.0, size / max(1, len(ring)))
+    caller_arc_length = ring_length * min(1.0, size / max(1, len(ring)))
     caller_start = ring_length * number / callers
     subset: dict[str, float] = {}
     arc_end = 0.0
@@ -76,9 +76,9 @@
         arc_start = arc_end
         arc_end = arc_end + weights[name]
         # The part of the caller's arc past the end of the ring continues at the beginning of the ring.
-        covered = _overlap(arc_start, arc_end, caller_start, caller_start + caller_length)
+        covered = _overlap(arc_start, arc_end, caller_start, caller_start + caller_arc_length)
         covered += _overlap(
-            arc_start, arc_end, caller_start - ring_length, caller_start - ring_length + caller_length
+            arc_start, arc_end, caller_start - ring_length, caller_start - ring_length + caller_arc_length
         )
         if covered > MIN_COVERED_FRACTION * ring_length:
             subset[name] = min(covered, weights[name])
--- a/spindlerelay/routing/weighted_round_robin.py
+++ b/spindlerelay/routing/weighted_round_robin.py
@@ -5,9 +5,9 @@
 round robin). The caller uses its subset of the ring (``subsetting.subset_by_weight``): few callers share an
 endpoint, so the attempts that a caller spaces evenly also arrive evenly.
 
-The first virtual time of an endpoint is random, since callers that start together would otherwise all start
-with the same endpoints. An endpoint that was excluded does not catch up on attempts that it missed, since it
-would get all of them at once.
+The virtual time at which an endpoint is first due is random, since callers that start together would
+otherwise all start with the same endpoints. An endpoint that was excluded does not catch up on attempts that
+it missed, since it would get all of them at once.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
         self.subset: dict[str, float] = {}
         self._random = rng
         self._position = position
-        # Virtual time, in intervals between two choices of an endpoint with weight 1.
+        # Virtual times; the unit is the interval between two choices of an endpoint with weight 1.
         self._due_times: dict[str, float] = {}
         self._virtual_time = 0.0
 
     def update_endpoints(self, weights: Mapping[str, float]) -> None:
-        """Replace the endpoint list; endpoints that are still listed keep their part of an interval left."""
+        """Replace the endpoint list; endpoints that are still listed keep the rest of their interval."""
         previous = self.subset
         self.weights = {name: max(0.0, weight) for name, weight in weights.items()}
         self.subset = subset_by_weight(self.weights, *self._position) if self._position else self.weights
