--- a/spindlerelay/membership/actions.py
+++ b/spindlerelay/membership/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a step of the failure detector returns. Pure values."""
+"""Actions that a step of the failure detector returns, as immutable values."""
 
 from __future__ import annotations
 
@@ -15,12 +15,16 @@
 
 
 class MemberStatusChanged(NamedTuple):
-    """A member's status has changed; it last reported ``silent_ms`` ago."""
+    """Report that a member's status has changed.
+
+    Attributes:
+        report_age_ms: time since the member's latest report of its own state.
+    """
 
     name: str
     status: MemberStatus
     incarnation: int
-    silent_ms: float
+    report_age_ms: float
 
 
 Action = SendMessage | MemberStatusChanged
--- a/spindlerelay/membership/dissemination.py
+++ b/spindlerelay/membership/dissemination.py
@@ -1,7 +1,8 @@
-"""Which gossip updates travel with the next message.
+"""Selection of the gossip updates that are piggybacked on the next message.
 
-Pure: times are ms on a steady clock, and randomness comes from the caller's generator. Changed beliefs go
-first, the least transmitted ones ahead; the remaining space carries recent reports in a shuffled order.
+The module does no I/O: times are ms on a monotonic clock, and randomness comes from the caller's generator.
+Members whose state has changed are selected first, in ascending order of their number of transmissions. The
+remaining space carries recent node reports in a shuffled order.
 """
 
 from __future__ import annotations
@@ -12,42 +13,46 @@
 from spindlerelay.membership.member_table import MemberTable
 from spindlerelay.membership.messages import ALIVE, MAX_UPDATES_PER_MESSAGE, GossipUpdate
 
-TRANSMISSION_FACTOR = 3.0  # transmissions of a belief, as a multiple of log2 of the group size
-STATUS_CHANGE_PRIORITY = 4  # transmissions of a status change ahead of those of a new member
+TRANSMISSION_FACTOR = 3.0  # an update is transmitted this many times log2 of the group size
+STATUS_CHANGE_PRIORITY = 4  # number of transmissions of a status change that precede those of a new member
 MAX_FORWARDED_REPORT_AGE_MS = 10_000.0
 
 
 class GossipQueue:
-    """Beliefs to transmit, each a limited number of times."""
+    """Queues the members whose state is to be gossiped, and limits the transmissions of an update."""
 
     def __init__(self, rng: random.Random, table: MemberTable) -> None:
         self._random = rng
         self._table = table
-        self._transmissions: dict[str, int] = {}  # by member; negative for urgent beliefs
+        # Number of transmissions by member name. A prioritized update starts below zero.
+        self._transmissions: dict[str, int] = {}
         self._report_order: list[str] = []  # members whose reports are forwarded next, from the end
 
     def enqueue(self, name: str, priority: int) -> None:
-        """Transmit what is believed of a member, ``priority`` times ahead of new members."""
+        """Queue a member's state for transmission.
+
+        The state is transmitted ``priority`` times before it competes with that of a new member.
+        """
         self._transmissions[name] = -priority
 
     def discard(self, name: str) -> None:
-        """Stop transmitting what was believed of a member."""
+        """Stop transmitting a member's state."""
         self._transmissions.pop(name, None)
 
     def select(self, now_ms: float, target: str) -> tuple[GossipUpdate, ...]:
-        """Return the updates for a message to a target and count them as transmitted.
+        """Return the updates for a message to ``target`` and count them as transmitted.
 
-        The belief about the target comes first, so that it can refute it.
+        The update about the target itself comes first, so that the target can refute a wrong suspicion.
         """
         members = self._table.members
         selected: dict[str, GossipUpdate] = {}
         if (member := members.get(target)) is not None:
             selected[target] = member.to_update(now_ms)
-        self._add_changed_beliefs(selected, now_ms)
+        self._add_changed_members(selected, now_ms)
         self._add_reports(selected, now_ms)
         return tuple(selected.values())
 
-    def _add_changed_beliefs(self, selected: dict[str, GossipUpdate], now_ms: float) -> None:
+    def _add_changed_members(self, selected: dict[str, GossipUpdate], now_ms: float) -> None:
         transmissions = self._transmissions
         limit = math.ceil(TRANSMISSION_FACTOR * math.log2(len(self._table.active_names) + 2))
         least_transmitted = sorted(transmissions, key=transmissions.__getitem__)
--- a/spindlerelay/membership/failure_detector.py
+++ b/spindlerelay/membership/failure_detector.py
@@ -1,24 +1,29 @@
-"""Group membership as one node believes it: a SWIM failure detector with Lifeguard's refinements.
+"""Group membership in the view of one node: a SWIM failure detector with Lifeguard's refinements.
 
-Pure: stepped with a time and the messages received, returns actions. Times are ms on a steady clock. After
-SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2018):
+The module does no I/O: a step takes a time and the received messages, and returns actions. Times are ms on a
+monotonic clock. The protocol follows SWIM (Das, Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey
+2018). The status of a member changes as follows:
 
 | status | becomes | when |
 | --- | --- | --- |
-| alive | suspect | a direct and the indirect probes got no ack, or another node suspects it |
-| suspect | alive | it raised its incarnation, or reported on itself after the suspicion began |
-| suspect | dead | the suspicion timed out: the sooner, the more nodes confirm it |
-| dead | alive | it raised its incarnation, or reported on itself after the suspicion began |
-| any | left | it announced its departure |
-
-1. Members are probed one at a time in a shuffled order, so the cost does not grow with the group.
-2. Updates travel with probes and acks, the least transmitted first; remaining space carries node reports.
-3. A report later than a suspicion ends the suspicion, and a death that followed from it, without a
-   refutation. Messages carry ages, never times: no clocks are compared.
-4. A process that stalled extends its timeouts by the stall and takes received updates as older by as much.
-   A node that fails in its probes, or is suspected itself, grants all others more time (``LocalHealth``).
-5. Dead members and seeds are pinged now and then, one at a time, so that separated parts find one another. A
-   node that is new, or returns from the dead, is sent the whole member table.
+| alive | suspect | the direct and the indirect probes got no ack, or another node suspects the member |
+| suspect | alive | the member raised its incarnation, or sent a report after the suspicion began |
+| suspect | dead | the suspicion timed out; the timeout shrinks with the number of nodes that confirm it |
+| dead | alive | the member raised its incarnation, or sent a report after the suspicion began |
+| any | left | the member announced its departure |
+
+Rules of the protocol:
+
+1. Members are probed one at a time in a shuffled order, so the cost does not grow with the size of the group.
+2. Updates are piggybacked on probes and acks, the least transmitted updates first. The remaining space of a
+   message carries node reports.
+3. A report that is later than the start of a suspicion ends the suspicion, or the dead status that followed
+   from it, without a refutation. Messages carry ages instead of times, so clocks are never compared.
+4. After a stall of its own process, a node extends its timeouts by the duration of the stall and adds that
+   duration to the ages of received updates. A node whose probes fail, or that is suspected itself, allows all
+   other nodes longer timeouts (``LocalHealth``).
+5. Dead members and seeds are pinged periodically, one at a time, so that the parts of a partitioned group
+   find one another. A node that joins, or becomes alive after it was dead, is sent the whole member table.
 """
 
 from __future__ import annotations
@@ -52,19 +57,16 @@
 from spindlerelay.membership.state_sync import StateSync
 from spindlerelay.membership.suspicion import SuspicionTimers
 
-STEP_INTERVAL_MS = 100.0  # between steps; all other times are as exact as this
-STALL_THRESHOLD_MS = 200.0  # by which a step must be late for the process to have stalled
+STEP_INTERVAL_MS = 100.0  # resolution of all timeouts of the protocol
+STALL_THRESHOLD_MS = 200.0  # a step that is later than this means that the process stalled
 INDIRECT_PROBES = 3
 ANNOUNCEMENT_FANOUT = 2 * INDIRECT_PROBES
-MAX_INTRODUCTION_AGE_MS = 30_000.0  # an older update introduces no unknown member
-EARLY_PROBE_AGE_MS = 3000.0  # a new member with an older update is probed next
+MAX_INTRODUCTION_AGE_MS = 30_000.0  # an unknown member is not added from an older update
+EARLY_PROBE_AGE_MS = 3000.0  # a new member is probed next if the update about it is older
 
 
 class FailureDetector:
-    """One node's view of the group.
-
-    It sends the node's own report to the others; ``members`` are all others by name.
-    """
+    """Maintains one node's view of the group, and sends the node's own report to the other nodes."""
 
     def __init__(
         self, name: str, address: Address, seeds: Sequence[Address], rng: random.Random, incarnation: int = 0
@@ -74,7 +76,7 @@
         self.incarnation = incarnation
         self.own_report = NodeReport()
         self.local_health = LocalHealth()
-        self.name_conflicts = 0  # messages of another node with this node's name
+        self.name_conflicts = 0  # messages received from another node that uses this node's name
         self._random = rng
         self._table = MemberTable()
         self._prober = Prober(rng, self._table, self.local_health)
@@ -88,29 +90,29 @@
 
     @property
     def members(self) -> dict[str, Member]:
-        """All other known nodes by name, inactive ones included."""
+        """Return all known nodes except this one, by name, including dead nodes and nodes that left."""
         return self._table.members
 
     def active_members(self) -> list[Member]:
-        """Return all other nodes that are alive or suspect."""
+        """Return the members that are alive or suspect."""
         return [self.members[name] for name in self._table.active_names]
 
     def step(self, now_ms: float, received: Sequence[Message] = ()) -> list[Action]:
-        """Process received messages, then do what is due.
+        """Process the received messages, then start the probes and apply the timeouts that are due.
 
-        To be called at a fixed interval and whenever messages have been received.
+        The caller invokes this every ``STEP_INTERVAL_MS``, and whenever messages have been received.
         """
         self._actions = []
         stall_ms = now_ms - self._next_step_ms if self._next_step_ms > -math.inf else 0.0
         stall_ms = stall_ms if stall_ms > STALL_THRESHOLD_MS else 0.0
         if stall_ms:
-            self._excuse_stall(stall_ms)
+            self._compensate_stall(stall_ms)
         self._now_ms = now_ms
         self._next_step_ms = now_ms + STEP_INTERVAL_MS
         for message in received:
             self._receive(message, stall_ms)
         if stall_ms > PROBE_TIMEOUT_MS:
-            self._announce_self()  # nodes that suspect this one learn of it sooner
+            self._announce_self()  # lets nodes that suspect this one learn sooner that it is alive
         if not self._left:
             self._probe()
             self._expire_suspicions()
@@ -120,7 +122,7 @@
         return self._actions
 
     def leave(self, now_ms: float) -> list[Action]:
-        """Announce the node's departure to some members, which pass it on."""
+        """Announce the node's departure to a few members, which gossip it to the group."""
         self._now_ms = now_ms
         self._actions = []
         self._left = True
@@ -135,15 +137,15 @@
             if sender.address != self.address:
                 self.name_conflicts += 1
             return
-        known = self.members.get(sender.name)
-        introduce = known is None or not known.active
+        existing_member = self.members.get(sender.name)
+        newly_active = existing_member is None or not existing_member.active
         self._apply(sender._replace(age_ms=stall_ms), True)
         for update in message.updates:
             self._apply(update._replace(age_ms=update.age_ms + stall_ms), False)
         self._respond(message)
-        if introduce and sender.status is ALIVE:
+        if newly_active and sender.status is ALIVE:
             self._send_table(sender.address, sender.name)
-            if known is not None:
+            if existing_member is not None:
                 self._state_sync.request_soon(self._now_ms)
 
     def _respond(self, message: Message) -> None:
@@ -165,12 +167,12 @@
         if isinstance(probe, Probe):
             self.local_health.improve()
             if (member := self.members.get(probe.name)) and message.sender.name != probe.name:
-                self._note_alive(member, self._now_ms)  # an indirect probe succeeded
+                self._note_alive(member, self._now_ms)  # a relay's ack for an indirect probe
         elif probe is not None:
             self._send(probe.requester, ACK, probe.requester_sequence, probe.target)
 
     def _apply(self, update: GossipUpdate, direct: bool) -> None:
-        """Update the beliefs; ``direct`` if the node itself sent it."""
+        """Apply an update to the member table; ``direct`` tells whether the updated node itself sent it."""
         if update.name == self.name:
             self._refute(update)
             return
@@ -186,21 +188,21 @@
             self._apply_alive(member, update, newer, at_ms, direct)
         elif update.status is LEFT:
             self._deactivate(member, LEFT, update.incarnation, at_ms)
-        elif newer or at_ms > member.last_report_ms:  # else it has reported on itself since
+        elif newer or at_ms > member.last_report_ms:  # a later report of the member outdates the update
             if update.status is DEAD:
                 self._deactivate(member, DEAD, update.incarnation, at_ms)
             else:
                 self._suspect(member, update.accuser, update.incarnation, at_ms)
 
     def _introduce(self, update: GossipUpdate) -> None:
-        # The age of a suspicion does not say when the node was last heard of.
+        # Only the age of an alive update tells when the node last reported; a suspicion's age does not.
         recent = update.status is ALIVE and update.age_ms < MAX_INTRODUCTION_AGE_MS
         if not recent or self._table.full:
             return
         member = self._table.add(update, self._now_ms)
         self._prober.insert(member.name)
         if update.age_ms > EARLY_PROBE_AGE_MS:
-            self._prober.insert_next(member.name)  # the update of its death may have passed by
+            self._prober.insert_next(member.name)  # an update that it is dead may have been missed
         self._publish(member, priority=0)
 
     def _apply_alive(
@@ -216,7 +218,10 @@
             self._note_alive(member, at_ms)
 
     def _refute(self, update: GossipUpdate) -> None:
-        """Outbid a wrong belief about this node, or one about an earlier process, by a higher incarnation."""
+        """Override an update that is wrong or is about an earlier process of this node.
+
+        A higher incarnation overrides the update.
+        """
         if self._left:
             return
         accused = update.status is not ALIVE and update.incarnation >= self.incarnation
@@ -228,7 +233,7 @@
     # Changes of status
 
     def _note_alive(self, member: Member, at_ms: float) -> None:
-        """End a suspicion or death that began before the member was alive at this time."""
+        """Record that a member was alive at ``at_ms``, which ends an earlier suspect or dead status."""
         member.last_report_ms = max(member.last_report_ms, at_ms)
         refutable = member.status in (SUSPECT, DEAD)
         if refutable and at_ms > member.status_since_ms:
@@ -266,14 +271,16 @@
             self._publish(member)
 
     def _publish(self, member: Member, priority: int = STATUS_CHANGE_PRIORITY) -> None:
-        """Return a changed status from this step, and queue it for transmission."""
+        """Add a member's changed status to the actions of this step, and queue it for gossip."""
         self._gossip.enqueue(member.name, priority)
-        silent_ms = max(0.0, self._now_ms - member.last_report_ms)
-        self._actions.append(MemberStatusChanged(member.name, member.status, member.incarnation, silent_ms))
+        report_age_ms = max(0.0, self._now_ms - member.last_report_ms)
+        self._actions.append(
+            MemberStatusChanged(member.name, member.status, member.incarnation, report_age_ms)
+        )
 
-    # What is due with time
+    # Probes and timeouts
 
-    def _excuse_stall(self, stall_ms: float) -> None:
+    def _compensate_stall(self, stall_ms: float) -> None:
         self._prober.postpone(stall_ms)
         self._suspicions.postpone(stall_ms)
         self.local_health.degrade()
@@ -284,8 +291,8 @@
                 case ProbeFailed(probe):
                     self._fail_probe(probe)
                 case IndirectProbeDue(sequence, name):
-                    for helper in self._sample(INDIRECT_PROBES, name):
-                        address = self.members[helper].address
+                    for relay_name in self._sample(INDIRECT_PROBES, name):
+                        address = self.members[relay_name].address
                         self._send(address, PING_REQUEST, sequence, name)
         if (started := self._prober.start_next(self._now_ms)) is not None:
             sequence, member = started
@@ -337,6 +344,6 @@
         return GossipUpdate(self.name, self.address, status, self.incarnation, 0.0, "", self.own_report)
 
     def _sample(self, count: int, excluded: str = "") -> list[str]:
-        """Return the names of some alive members, drawn at random."""
+        """Return the names of up to ``count`` alive members, drawn at random."""
         names = self._table.alive_names(excluded)
         return self._random.sample(names, min(count, len(names)))
--- a/spindlerelay/membership/gossip_codec.py
+++ b/spindlerelay/membership/gossip_codec.py
@@ -1,11 +1,11 @@
-"""Datagrams of the gossip protocol: MessagePack, validated whole on receipt.
+"""Codec of the gossip protocol's datagrams: MessagePack, validated completely on receipt.
 
-Pure. Owns the wire format and nothing else; numbers stand for message kinds and statuses:
+The module does no I/O and defines only the wire format. Message kinds and statuses are encoded as numbers:
 
     [version, cluster, kind, sequence, target, sender, updates]
 
-An update is ``[name, host, port, status, incarnation, age, accuser, report]`` with its age in ms when the
-datagram was sent, so no clocks are compared. Whatever does not fit is a ``DatagramError``.
+An update is ``[name, host, port, status, incarnation, age, accuser, report]``. The age is in ms at the time
+when the datagram was sent, so clocks are never compared. An invalid datagram raises ``DatagramError``.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 )
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 1400  # one packet on any network in use
+MAX_DATAGRAM_BYTES = 1400  # fits in one packet on any network in use
 MAX_NAME_LENGTH = 127
 MAX_TEXT_LENGTH = 64
 MAX_AGE_MS = 86_400_000.0
@@ -37,7 +37,7 @@
 MAX_WEIGHT = 100.0
 CACHE_SIZE = 4096
 
-# Positions are the numbers on the wire.
+# The index of a value is its number on the wire.
 WIRE_KINDS = (
     MessageKind.PING,
     MessageKind.ACK,
@@ -51,7 +51,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a datagram is rejected; the value is the published name of its count."""
+    """Reasons to reject a datagram. A value is the name of the reason's counter on the members page."""
 
     NOT_MESSAGEPACK = "not MessagePack"
     MALFORMED = "malformed"
@@ -60,7 +60,7 @@
 
 
 class DatagramError(SpindlerelayError, ValueError):
-    """A rejected datagram; the text is the value of ``reason``."""
+    """Raised for a rejected datagram; the message is the value of ``reason``."""
 
     def __init__(self, reason: RejectionReason) -> None:
         super().__init__(reason.value)
@@ -68,14 +68,14 @@
 
 
 class _Identity(NamedTuple):
-    """The part of an update that repeats between datagrams."""
+    """The fields of an update that are equal in most datagrams about a node."""
 
     address: Address
     status: MemberStatus
 
 
 def encode(cluster: str, message: Message) -> bytes:
-    """Return a message as one datagram; updates beyond the size limit are left out, the last ones first."""
+    """Return a message as one datagram, without the last updates if they exceed the size limit."""
     header = [VERSION, cluster, KIND_NUMBERS[message.kind], message.sequence, message.target]
     sender = _encode_update(message.sender)
     updates = [_encode_update(update) for update in message.updates[:MAX_UPDATES_PER_MESSAGE]]
@@ -100,14 +100,14 @@
 
 
 def decode(cluster: str, data: bytes) -> Message:
-    """Return the message of a datagram.
+    """Return the message that a datagram carries.
 
     Raises:
-        DatagramError: the datagram is not of this protocol version and cluster, or malformed.
+        DatagramError: the datagram is malformed, or has another protocol version or cluster.
     """
     try:
         fields = msgpack.unpackb(data, raw=False, max_array_len=64, max_str_len=256, max_map_len=0)
-    except Exception:  # the library raises a dozen kinds
+    except Exception:  # msgpack raises a dozen exception types for invalid input
         raise DatagramError(RejectionReason.NOT_MESSAGEPACK) from None
     if not isinstance(fields, list) or not fields:
         raise DatagramError(RejectionReason.MALFORMED)
@@ -136,14 +136,15 @@
         name, host, port, status_number, incarnation, age, accuser, report_fields = fields
         report = None if report_fields is None else _decode_report(tuple(report_fields))
         address, status = _decode_identity(name, host, port, status_number, incarnation, accuser)
-    except (TypeError, ValueError):  # another number of fields, or lists where texts belong
+    except (TypeError, ValueError):  # a wrong number of fields, or a list in place of a string
         raise DatagramError(RejectionReason.MALFORMED) from None
     if not _is_number(age, MAX_AGE_MS):
         raise DatagramError(RejectionReason.MALFORMED)
     return GossipUpdate(name, address, status, incarnation, float(age), accuser, report)
 
 
-# Cached, since the same fields arrive from many members and validation is most of the cost of decoding.
+# The next two functions are cached: the same fields arrive from many members, and validation is most of the
+# cost of decoding.
 
 
 @lru_cache(maxsize=CACHE_SIZE)
--- a/spindlerelay/membership/load_weights.py
+++ b/spindlerelay/membership/load_weights.py
@@ -1,17 +1,20 @@
-"""The traffic weight that a node requests, from its own load and the reports of the others.
-
-Pure: stepped with a time in ms on a steady clock. The weight is the product of two parts. *Speed* is the
-node's runs per second relative to the group's mean; load does not change it, so all nodes may follow it at
-once without oscillation. *Trim* lowers the weight of nodes busier than the mean and raises that of the
-others, slowly and within bounds. Damping, for hundreds of nodes that do so at once:
-
-1. a step every ``STEP_INTERVAL_MS``, longer than the endpoint list takes to show a change, at a random phase;
-2. a step moves the trim by ``TRIM_GAIN`` of the difference, and not at all within ``UTILIZATION_DEAD_BAND``;
-3. a weight is published only if it is off by ``MIN_PUBLISHED_CHANGE``, and not again within
-   ``MIN_PUBLICATION_INTERVAL_MS``.
-
-So after a step in load the trim moves in one direction, and then stays within what the dead band and one
-step allow: it oscillates by at most ``MAX_OSCILLATION`` of the weight.
+"""Controller of the traffic weight that a node requests, based on its own load and on other nodes' reports.
+
+The module does no I/O: a step takes a time in ms on a monotonic clock. The weight is the product of two
+factors. *Speed* is the node's runs per second relative to the group's mean. Load does not change the speed,
+so all nodes can adapt to it at once without oscillation. *Trim* lowers the weight of nodes that are busier
+than the mean and raises the weight of less busy nodes, slowly and within bounds. Hundreds of nodes adjust
+their trim at the same time, so the controller is damped:
+
+1. A step is made every ``STEP_INTERVAL_MS``, which is longer than a change takes to appear in the endpoint
+   list. The phase of the steps is random.
+2. A step changes the trim by ``TRIM_GAIN`` of the difference in utilization, and leaves it unchanged while
+   the difference is within ``UTILIZATION_DEAD_BAND``.
+3. A weight is published only if it differs from the published one by ``MIN_PUBLISHED_CHANGE``, and at least
+   ``MIN_PUBLICATION_INTERVAL_MS`` after the previous publication.
+
+After a sudden change in load the trim therefore moves in one direction, and then stays within the range that
+the dead band and one step allow: the weight oscillates by at most the fraction ``MAX_OSCILLATION``.
 """
 
 from __future__ import annotations
@@ -30,22 +33,23 @@
 MAX_TRIM = 1.4
 MIN_WEIGHT = 0.25
 MAX_WEIGHT = 4.0
-MAX_OSCILLATION = 0.12  # of the weight
-MIN_PUBLISHED_CHANGE = 0.08  # of the weight
+MAX_OSCILLATION = 0.12  # as a fraction of the weight
+MIN_PUBLISHED_CHANGE = 0.08  # as a fraction of the published weight
 MIN_PUBLICATION_INTERVAL_MS = 4000.0
-MIN_REPORTS = 3  # of other nodes, for a mean
-REPORT_DECAY_MS = 8000.0  # in which a report loses all but 1/e of its influence
+MIN_REPORTS = 3  # with fewer reports of other nodes the group's mean is not meaningful
+REPORT_DECAY_MS = 8000.0  # a report's influence on the mean falls to 1/e at this age
 UTILIZATION_WINDOW_MS = 3000.0
-SPEED_WINDOW_MS = 20_000.0  # longer, since durations of runs vary tenfold and few runs end in a second
-IDLE_UTILIZATION = 0.3  # of the group; below it the trim stays
+SPEED_WINDOW_MS = 20_000.0  # long because durations of runs vary tenfold and few runs complete in a second
+IDLE_UTILIZATION = 0.3  # the trim is not changed while the group's mean utilization is below this
 MAX_LOAD_INCREASE = 0.3
 
 
 class LoadWeight(NamedTuple):
-    """A node's request for traffic.
+    """The share of traffic that a node requests.
 
-    ``weight`` is relative to an average node's 1. ``load_increase`` is added to the published load, to
-    deflect this fraction of the traffic at once.
+    Attributes:
+        weight: requested traffic relative to an average node, whose weight is 1.
+        load_increase: amount added to the published load, to divert this fraction of the traffic at once.
     """
 
     weight: float
@@ -53,7 +57,7 @@
 
 
 class LoadWeightController:
-    """One node's controller; ``published`` is its latest result."""
+    """Computes the weight that one node requests; ``published`` is the latest result."""
 
     def __init__(self, rng: random.Random) -> None:
         self.published = LoadWeight(1.0, 0.0)
@@ -68,19 +72,24 @@
         self._published_ms = -math.inf
 
     def observe(self, now: float, cpu_utilization: float, runs_per_second: float) -> None:
-        """Add the node's own figures; ``runs_per_second`` is 0 while unknown, as on a cold node."""
+        """Add a sample of the node's load; ``runs_per_second`` is 0 while unknown, as during the warm-up."""
         elapsed_ms = now - self._observed_ms if self._observed_ms > -math.inf else math.inf
         self._observed_ms = now
-        utilization_part = _smoothing_factor(elapsed_ms, UTILIZATION_WINDOW_MS)
-        self.cpu_utilization += (cpu_utilization - self.cpu_utilization) * utilization_part
+        utilization_smoothing = _smoothing_factor(elapsed_ms, UTILIZATION_WINDOW_MS)
+        self.cpu_utilization += (cpu_utilization - self.cpu_utilization) * utilization_smoothing
         if runs_per_second > 0.0:
             self._speed_samples += 1
-            # The first samples count alike, so that the very first does not dominate for long.
-            speed_part = max(_smoothing_factor(elapsed_ms, SPEED_WINDOW_MS), 1.0 / self._speed_samples)
-            self.runs_per_second += (runs_per_second - self.runs_per_second) * speed_part
+            # The first samples have equal weights, so that the very first does not dominate for long.
+            speed_smoothing = max(_smoothing_factor(elapsed_ms, SPEED_WINDOW_MS), 1.0 / self._speed_samples)
+            self.runs_per_second += (runs_per_second - self.runs_per_second) * speed_smoothing
+
+    def step(self, now: float, aged_reports: Iterable[tuple[NodeReport, float]]) -> LoadWeight:
+        """Return the weight and load increase to publish.
 
-    def step(self, now: float, others: Iterable[tuple[NodeReport, float]]) -> LoadWeight:
-        """Return what to publish, given the others' reports and their ages in ms."""
+        Args:
+            now: time in ms on a monotonic clock.
+            aged_reports: reports of the other nodes, paired with their ages in ms.
+        """
         if self._next_step_ms == -math.inf:
             self._next_step_ms = now + STEP_INTERVAL_MS + self._phase_ms
         if now < self._next_step_ms:
@@ -88,7 +97,7 @@
         self._next_step_ms = now + STEP_INTERVAL_MS
         reports = [
             (report, math.exp(-max(0.0, age_ms) / REPORT_DECAY_MS))
-            for report, age_ms in others
+            for report, age_ms in aged_reports
             if report.runs_per_second > 0.0
         ]
         if len(reports) < MIN_REPORTS or not self.runs_per_second:
--- a/spindlerelay/membership/member_table.py
+++ b/spindlerelay/membership/member_table.py
@@ -1,7 +1,7 @@
-"""The members that one node knows, and the state machine of their status.
+"""Table of the members that one node knows, and the state machine of their status.
 
-Pure: times are ms on a steady clock. Owns which members are active (alive or suspect) and for how long the
-others are remembered. Decides nothing about when a status changes.
+The module does no I/O; times are ms on a monotonic clock. It tracks which members are active (alive or
+suspect) and for how long inactive members are retained. The failure detector decides when a status changes.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 )
 
 MAX_MEMBERS = 4096
-MEMBER_RETENTION_MS = 600_000.0  # for which dead members and those that left are remembered
+MEMBER_RETENTION_MS = 600_000.0  # time for which dead members and members that left are retained
 SWEEP_INTERVAL_MS = 5000.0
 
 STATUS_TRANSITIONS: dict[MemberStatus, frozenset[MemberStatus]] = {
@@ -32,10 +32,13 @@
 
 
 class Member:
-    """What is believed of another node.
+    """Holds this node's view of another node.
 
-    ``last_report_ms`` is when it last reported on itself. ``status_since_ms`` is when the present status
-    began; for a dead member, when the suspicion began.
+    Attributes:
+        last_report_ms: time of the member's latest report of its own state.
+        status_since_ms: time at which the present status began; for a dead member, the start of the
+            suspicion.
+        accusers: names of the nodes that suspect the member.
     """
 
     __slots__ = (
@@ -61,11 +64,11 @@
 
     @property
     def active(self) -> bool:
-        """Whether the member is alive or suspect."""
+        """Return whether the member is alive or suspect."""
         return self.status not in INACTIVE
 
     def to_update(self, now_ms: float) -> GossipUpdate:
-        """Return the belief as it is sent to other nodes."""
+        """Return the member's state as an update for other nodes."""
         name = self.name
         address = self.address
         incarnation = self.incarnation
@@ -78,7 +81,7 @@
 
 
 class MemberTable:
-    """All other nodes by name; ``active_names`` lists the active ones in the order of their arrival."""
+    """Holds all known members by name; ``active_names`` lists the active ones in the order of activation."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
@@ -87,22 +90,22 @@
 
     @property
     def full(self) -> bool:
-        """Whether no further member may be added."""
+        """Return whether the table has reached ``MAX_MEMBERS``."""
         return len(self.members) >= MAX_MEMBERS
 
     def add(self, update: GossipUpdate, now_ms: float) -> Member:
-        """Add a new active member."""
+        """Add a member with the status alive."""
         member = self.members[update.name] = Member(update, now_ms)
         self.active_names.append(member.name)
         return member
 
     def alive_names(self, excluded: str = "") -> list[str]:
-        """Return the names of members that are not even suspected."""
+        """Return the names of the members that are alive, except ``excluded``."""
         members = self.members
         return [name for name in self.active_names if name != excluded and members[name].status is ALIVE]
 
     def change_status(self, member: Member, status: MemberStatus, since_ms: float) -> bool:
-        """Change a member's status and return whether it has become active by this."""
+        """Change a member's status and return whether the change made the member active."""
         was_active = member.active
         member.status = status
         member.status_since_ms = since_ms
@@ -113,7 +116,7 @@
         return member.active and not was_active
 
     def sweep(self, now_ms: float) -> list[str]:
-        """Forget members that have been inactive for long, and return their names."""
+        """Remove members that have been inactive for ``MEMBER_RETENTION_MS``, and return their names."""
         if now_ms < self._next_sweep_ms:
             return []
         self._next_sweep_ms = now_ms + SWEEP_INTERVAL_MS
--- a/spindlerelay/membership/members_page.py
+++ b/spindlerelay/membership/members_page.py
@@ -1,6 +1,6 @@
-"""The management page ``/control/members``: a node's view of the group as JSON.
+"""Encoding of the management page ``/control/members``: a node's view of the group as JSON.
 
-Pure. Owns the published names, which scripts read; ages are in ms.
+The names of the fields are an interface that scripts read. Ages are in ms.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 
 class TransportCounts:
-    """Datagrams of a transport since its start."""
+    """Counts the datagrams that a transport has sent and received since its start."""
 
     def __init__(self) -> None:
         self.sent = 0
         self.sent_bytes = 0
         self.received = 0
-        self.rejected: dict[str, int] = {}  # by reason
+        self.rejected: dict[str, int] = {}  # number of rejected datagrams by reason
 
-    def note_sent(self, size: int) -> None:
+    def count_sent(self, size: int) -> None:
         """Count a datagram that was sent."""
         self.sent += 1
         self.sent_bytes += size
 
-    def note_rejected(self, reason: str) -> None:
+    def count_rejected(self, reason: str) -> None:
         """Count a received datagram that was rejected."""
         self.rejected[reason] = self.rejected.get(reason, 0) + 1
 
@@ -36,7 +36,7 @@
 def encode_page(
     now: float, cluster: str, detector: FailureDetector, counts: TransportCounts, weight_changes: int
 ) -> bytes:
-    """Return the page, ended by a newline."""
+    """Return the page as JSON that ends with a newline."""
     members = sorted(detector.members.values(), key=lambda member: member.name)
     page = {
         "name": detector.name,
--- a/spindlerelay/membership/messages.py
+++ b/spindlerelay/membership/messages.py
@@ -1,6 +1,6 @@
-"""Value types that nodes exchange and that the failure detector stores.
+"""Value types of the messages that nodes exchange.
 
-Pure. Does not know how a message is encoded (``gossip_codec``) or sent (``udp_transport``).
+``gossip_codec`` encodes messages, and ``udp_transport`` sends them.
 """
 
 from __future__ import annotations
@@ -8,13 +8,13 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MAX_UPDATES_PER_MESSAGE = 10  # the sender's own update not counted
+MAX_UPDATES_PER_MESSAGE = 10  # does not count the sender's own update
 
 Address = tuple[str, int]
 
 
 class MemberStatus(StrEnum):
-    """What is believed of a node; the value is the published name."""
+    """Status of a member in the view of another node; the value is the published name."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -22,7 +22,8 @@
     LEFT = "left"
 
 
-# Bound once: in Python 3.11 an enum's attribute costs ten times a global's, and these are used per update.
+# These aliases exist for speed: every update reads a status, and in Python 3.11 reading an attribute of an
+# enum takes ten times as long as reading a global variable.
 ALIVE = MemberStatus.ALIVE
 SUSPECT = MemberStatus.SUSPECT
 DEAD = MemberStatus.DEAD
@@ -30,13 +31,13 @@
 
 
 class MessageKind(StrEnum):
-    """The purpose of a message, in SWIM's terms."""
+    """Type of a message of the SWIM protocol."""
 
     PING = "ping"
     ACK = "ack"
     PING_REQUEST = "ping request"  # asks the receiver to probe the target
     TABLE_REQUEST = "table request"  # asks for the receiver's whole member table
-    GOSSIP = "gossip"  # carries updates and wants no response
+    GOSSIP = "gossip"  # carries updates; the receiver sends no response
 
 
 PING = MessageKind.PING
@@ -47,21 +48,32 @@
 
 
 class NodeReport(NamedTuple):
-    """A node's report of its own state."""
+    """A node's report of its own state.
+
+    Attributes:
+        cpu_utilization: fraction of the node's cores in use, from 0 to 1.
+        runs_per_second: number of runs that the cores can complete per second; 0 until a run has completed.
+        state: a ``ReportedState`` value, or another text if the node runs another version.
+        site: site of the node.
+        version: version of the node's program.
+        weight: requested traffic relative to an average node, whose weight is 1.
+    """
 
-    cpu_utilization: float = 0.0  # fraction of its cores in use, 0 to 1
-    runs_per_second: float = 0.0  # that its cores can complete; 0 until a run has completed
-    state: str = ""  # a ``ReportedState`` value, or any text that another version sends
+    cpu_utilization: float = 0.0
+    runs_per_second: float = 0.0
+    state: str = ""
     site: str = ""
     version: str = ""
-    weight: float = 1.0  # requested traffic, relative to an average node
+    weight: float = 1.0
 
 
 class GossipUpdate(NamedTuple):
-    """A belief about one node.
+    """The state of one node in the view of the sender of a message.
 
-    ``age_ms`` is the age of the report for an alive node, and of the belief for any other. ``accuser`` names
-    a node that suspects it; it is empty otherwise.
+    Attributes:
+        age_ms: age of the report for an alive node, and age of the status for any other node.
+        accuser: name of a node that suspects the node, or empty.
+        report: latest report of an alive node; None if the update carries no report.
     """
 
     name: str
@@ -74,10 +86,11 @@
 
 
 class Message(NamedTuple):
-    """One datagram.
+    """The content of one datagram.
 
-    ``target`` is the node that a ping is meant for, that a ping request wants probed, and whose life an ack
-    proves.
+    Attributes:
+        target: name of the node that a ping is addressed to, that a ping request asks to probe, or that an
+            ack proves to be alive.
     """
 
     kind: MessageKind
--- a/spindlerelay/membership/probing.py
+++ b/spindlerelay/membership/probing.py
@@ -1,7 +1,7 @@
-"""SWIM's failure probes: whom to probe next, which probes are outstanding, and which are relayed for others.
+"""SWIM's failure probes: the probing order, the outstanding probes, and the probes relayed for other nodes.
 
-Pure: times are ms on a steady clock, and randomness comes from the caller's generator. Sends nothing; returns
-what is due as events.
+The module does no I/O: times are ms on a monotonic clock, and randomness comes from the caller's generator.
+Due probes are returned as events, and the failure detector sends the messages.
 """
 
 from __future__ import annotations
@@ -15,12 +15,16 @@
 from spindlerelay.membership.messages import Address
 
 PROBE_INTERVAL_MS = 200.0
-DIRECT_PROBE_TIMEOUT_MS = 150.0  # many times a round trip and a turn of a busy node
-PROBE_TIMEOUT_MS = 400.0  # direct and indirect probes together
+DIRECT_PROBE_TIMEOUT_MS = 150.0  # many times a round trip plus a turn of a busy node's event loop
+PROBE_TIMEOUT_MS = 400.0  # covers the direct and the indirect probes
 
 
 class Probe(NamedTuple):
-    """A probe without an ack. Times in ms."""
+    """An outstanding probe, which has no ack yet.
+
+    Attributes:
+        indirect: whether indirect probes have been requested.
+    """
 
     name: str
     sent_ms: float
@@ -30,7 +34,7 @@
 
 
 class RelayedProbe(NamedTuple):
-    """A probe made for another node, which gets the ack under its own sequence number."""
+    """A probe made for another node, which receives the ack with the sequence number of its ping request."""
 
     requester: Address
     requester_sequence: int
@@ -39,7 +43,7 @@
 
 
 class IndirectProbeDue(NamedTuple):
-    """A direct probe got no ack: other nodes are to probe the member under this sequence number."""
+    """A direct probe got no ack in time: relays must probe the member with this sequence number."""
 
     sequence: int
     name: str
@@ -61,7 +65,7 @@
         self._sequence = 0
         self._probes: dict[int, Probe] = {}
         self._relayed: dict[int, RelayedProbe] = {}
-        self._order: list[str] = []  # next at the end
+        self._order: list[str] = []  # members left in this round; the last one is probed next
         self._next_probe_ms = -math.inf
 
     def next_sequence(self) -> int:
@@ -70,16 +74,16 @@
         return self._sequence
 
     def insert(self, name: str) -> None:
-        """Put a member at a random place of this round."""
-        place = self._random.randint(0, len(self._order))
-        self._order.insert(place, name)
+        """Insert a member at a random position of the current probing round."""
+        index = self._random.randint(0, len(self._order))
+        self._order.insert(index, name)
 
     def insert_next(self, name: str) -> None:
-        """Have a member probed next."""
+        """Schedule a member as the next to be probed."""
         self._order.append(name)
 
     def postpone(self, duration_ms: float) -> None:
-        """Extend all outstanding probes by the time for which this process stalled."""
+        """Extend the timeouts of all outstanding probes by the duration of a stall of this process."""
         self._probes = {
             sequence: probe._replace(
                 indirect_at_ms=probe.indirect_at_ms + duration_ms,
@@ -89,7 +93,7 @@
         }
 
     def take_due(self, now_ms: float) -> list[IndirectProbeDue | ProbeFailed]:
-        """Return what outstanding probes require now; failed probes and old relays are forgotten."""
+        """Return the indirect probes and failures that are due, and remove failed and expired probes."""
         due: list[IndirectProbeDue | ProbeFailed] = []
         for sequence, probe in list(self._probes.items()):
             if now_ms >= probe.expires_at_ms:
@@ -135,5 +139,5 @@
         return sequence
 
     def acknowledge(self, sequence: int) -> Probe | RelayedProbe | None:
-        """Return the probe that an ack ends, or None for an ack that is late or unknown."""
+        """Remove and return the probe that an ack completes; return None for a late or unknown ack."""
         return self._probes.pop(sequence, None) or self._relayed.pop(sequence, None)
--- a/spindlerelay/membership/state_sync.py
+++ b/spindlerelay/membership/state_sync.py
@@ -1,7 +1,7 @@
-"""Anti-entropy: whole member tables, and reconnect probes that join separated parts of the group again.
+"""Anti-entropy: exchange of whole member tables, and probes that reconnect the parts of a partitioned group.
 
-Pure: times are ms on a steady clock, and randomness comes from the caller's generator. Owns only when these
-exchanges are due and with whom; sends nothing.
+The module does no I/O: times are ms on a monotonic clock, and randomness comes from the caller's generator.
+It decides when an exchange is due and with which node; the failure detector sends the messages.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from spindlerelay.membership.messages import DEAD, MAX_UPDATES_PER_MESSAGE, Address, GossipUpdate
 
 RECONNECT_INTERVAL_MS = 1000.0
-MIN_TABLE_INTERVAL_MS = 100.0  # between two transmissions of the whole table
+MIN_TABLE_INTERVAL_MS = 100.0  # limits how often the whole table is sent
 MAX_TABLE_MESSAGES = 24
-TABLE_REQUEST_INTERVAL_MS = 1000.0  # before the first request; doubled with each
+TABLE_REQUEST_INTERVAL_MS = 1000.0  # delay of the first request; doubles with every request
 MAX_TABLE_REQUEST_INTERVAL_MS = 60_000.0
 
 
 class StateSync:
-    """When one node contacts lost members, sends its table, and requests another's."""
+    """Schedules reconnect probes, transmissions of the member table, and requests for a member table."""
 
     def __init__(self, rng: random.Random, table: MemberTable, seeds: Sequence[Address]) -> None:
         self._random = rng
@@ -33,7 +33,7 @@
         self._request_interval_ms = TABLE_REQUEST_INTERVAL_MS
 
     def reconnect_target(self, now_ms: float) -> tuple[Address, str] | None:
-        """Return the address and name of a dead member or unknown seed to ping, if it is time for one."""
+        """Return address and name of a dead member or inactive seed to ping, or None if no ping is due."""
         if now_ms < self._next_reconnect_ms:
             return None
         self._next_reconnect_ms = now_ms + RECONNECT_INTERVAL_MS * self._random.uniform(0.75, 1.25)
@@ -46,7 +46,10 @@
         return self._random.choice(targets) if targets else None
 
     def table_messages(self, now_ms: float, receiver: str) -> list[tuple[GossipUpdate, ...]]:
-        """Return the active members as the updates of several messages; nothing if sent just before."""
+        """Return updates about all active members, divided into messages.
+
+        The result is empty within ``MIN_TABLE_INTERVAL_MS`` of the previous transmission.
+        """
         if now_ms < self._next_table_ms:
             return []
         self._next_table_ms = now_ms + MIN_TABLE_INTERVAL_MS
@@ -58,7 +61,7 @@
         return [tuple(updates[start : start + MAX_UPDATES_PER_MESSAGE]) for start in starts]
 
     def request_due(self, now_ms: float) -> bool:
-        """Return whether to request a table now, and back off if so."""
+        """Return whether to request a table now; if so, double the interval to the next request."""
         if self._next_request_ms == math.inf:
             self._next_request_ms = now_ms + self._request_interval_ms * self._random.uniform(0.5, 1.5)
         if now_ms < self._next_request_ms:
@@ -68,7 +71,7 @@
         return True
 
     def request_soon(self, now_ms: float) -> None:
-        """Start the backoff again: a member has returned, perhaps with a separated part of the group."""
+        """Reset the backoff after a member became active again, since it may belong to a healed partition."""
         self._request_interval_ms = TABLE_REQUEST_INTERVAL_MS
         request_at_ms = now_ms + TABLE_REQUEST_INTERVAL_MS * self._random.uniform(0.5, 1.5)
         self._next_request_ms = min(self._next_request_ms, request_at_ms)
--- a/spindlerelay/membership/suspicion.py
+++ b/spindlerelay/membership/suspicion.py
@@ -1,6 +1,7 @@
-"""How long members stay suspected before they are declared dead, after Lifeguard.
+"""Lifeguard's suspicion timeouts: the time for which members stay suspect before they are declared dead.
 
-Pure: times are ms on a steady clock. A suspicion lasts the shorter, the more nodes confirm it independently.
+The module does no I/O; times are ms on a monotonic clock. The timeout of a suspicion shrinks with the number
+of nodes that confirm it independently.
 """
 
 from __future__ import annotations
@@ -12,39 +13,43 @@
 from spindlerelay.membership.messages import SUSPECT
 
 MIN_SUSPICION_MS = 700.0
-MAX_SUSPICION_MS = 2500.0  # a process stopped for 1 s resumes before it is declared dead
-MAX_CONFIRMATIONS = 3  # that shorten a suspicion; with these it lasts the minimum
+MAX_SUSPICION_MS = 2500.0  # long enough that a process stopped for 1 s is not declared dead
+MAX_CONFIRMATIONS = 3  # this many confirmations reduce the timeout to the minimum
 
 
 class SuspicionTimers:
-    """The members under suspicion."""
+    """Tracks the suspicions of members and their timeouts."""
 
     def __init__(self, table: MemberTable, health: LocalHealth) -> None:
         self._table = table
         self._health = health
-        self._names: dict[str, None] = {}  # in the order in which suspicions began
+        self._names: dict[str, None] = {}  # suspected members, in the order in which the suspicions began
 
     def start(self, member: Member, accuser: str) -> None:
-        """Begin a suspicion."""
+        """Start the suspicion timeout of a member."""
         member.accusers = {accuser}
         self._names[member.name] = None
 
     def confirm(self, member: Member, accuser: str) -> bool:
-        """Note another accuser; return False where it is known or changes nothing any more."""
+        """Add an accuser and return whether it shortens the timeout.
+
+        A known accuser, or one beyond ``MAX_CONFIRMATIONS``, does not.
+        """
         if accuser in member.accusers or len(member.accusers) > MAX_CONFIRMATIONS:
             return False
         member.accusers.add(accuser)
         return True
 
     def postpone(self, duration_ms: float) -> None:
-        """Extend all suspicions by the time for which this process stalled."""
+        """Extend the timeouts of all suspicions by the duration of a stall of this process."""
         for name in self._names:
             self._table.members[name].status_since_ms += duration_ms
 
     def take_expired(self, now_ms: float) -> list[Member]:
-        """End the suspicions that are over, and return the members to declare dead now.
+        """Remove the expired suspicions, and return the members to declare dead now.
 
-        A suspicion that was told of late ends at once, and its member may be forgotten in the same step.
+        A suspicion received long after it began expires at once, and the member may be removed from the table
+        in the same step.
         """
         expired = []
         for name in list(self._names):
--- a/spindlerelay/membership/udp_transport.py
+++ b/spindlerelay/membership/udp_transport.py
@@ -1,7 +1,7 @@
-"""Membership on the event loop: one UDP socket, a periodic step, and the node's report of itself.
+"""Membership on the event loop: one UDP socket, a periodic step, and updates of the node's own report.
 
-Owns the socket. Decides nothing: beliefs are the failure detector's, weights the load weight controller's. A
-rejected datagram is counted by its reason and not answered.
+The transport owns the socket. The failure detector decides the status of members, and the load weight
+controller decides the weight. A rejected datagram is counted by its reason and gets no response.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class ReportedState(StrEnum):
-    """A node's state in its report; the value is the word on the wire and on the members page."""
+    """State of a node in its own report; the value is used on the wire and on the members page."""
 
     STARTING = "starting"
     PASSING = "passing"
@@ -41,7 +41,11 @@
 
 
 class Options(NamedTuple):
-    """The ``[membership]`` table; ``advertised_address`` is the one that other nodes are given."""
+    """The ``[membership]`` table of the operator's file.
+
+    Attributes:
+        advertised_address: the address that other nodes send to.
+    """
 
     listen_address: Address
     advertised_address: Address
@@ -52,7 +56,7 @@
 
 
 class ObservedNode(Protocol):
-    """The node, as far as its membership needs it."""
+    """The interface of the node that the transport uses."""
 
     def status(self) -> NodeStatus:
         """Return the node's load and health."""
@@ -63,15 +67,22 @@
         ...
 
     def add_published_load(self, share: float) -> None:
-        """Add to the load that the node publishes with its responses."""
+        """Add a fraction to the load that the node publishes with its responses."""
         ...
 
 
 class GossipTransport:
-    """A node's membership, from its start until the process ends.
-
-    ``retry_bind`` where an older process of this node may still hold the address; without it, an address in
-    use raises OSError.
+    """Runs a node's membership from its start until the process ends.
+
+    Args:
+        loop: the event loop to run on.
+        options: the ``[membership]`` table.
+        settings: the node's settings.
+        node: the node whose state is reported.
+        name: name of the node in the group.
+        version: version of the program.
+        retry_bind: whether to retry while the address is in use, since an older process of this node may
+            still hold it. Without it, an address in use raises OSError.
     """
 
     def __init__(
@@ -101,11 +112,11 @@
         self._reported_ms = 0.0
         self._left = False
         self._bind(retry_bind)
-        self._tick()
+        self._run_periodic_step()
 
     @property
     def weight(self) -> float:
-        """The requested traffic, relative to an average node's 1."""
+        """Return the requested traffic relative to an average node, whose weight is 1."""
         return self.load_weights.published.weight
 
     def _bind(self, retry: bool) -> None:
@@ -116,7 +127,7 @@
         except OSError as error:
             if not retry:
                 raise
-            self._loop.warnings.warn("membership waits for its address", str(error.strerror))
+            self._loop.warnings.warn("membership address cannot be bound, retrying", str(error.strerror))
             self._loop.call_later(BIND_RETRY_INTERVAL_MS, lambda: self._bind(retry))
             return
         self._loop.register(self._socket, selectors.EVENT_READ, self)
@@ -129,7 +140,7 @@
             self.close()
 
     def reload(self) -> None:
-        """Change nothing: the table is read at the start only."""
+        """Do nothing: the ``[membership]`` table is read only at the start."""
 
     def close(self) -> None:
         """Close the socket."""
@@ -139,7 +150,7 @@
             self._socket = None
 
     def on_ready(self, mask: int) -> None:
-        """Receive datagrams."""
+        """Read the waiting datagrams and step the failure detector with their messages."""
         messages = self._receive()
         self.counts.received += len(messages)
         if messages and not self._left:
@@ -158,16 +169,16 @@
             try:
                 messages.append(decode(self._options.cluster, data))
             except DatagramError as error:
-                self.counts.note_rejected(error.reason.value)
+                self.counts.count_rejected(error.reason.value)
         return messages
 
     def on_handler_error(self) -> None:
-        """Keep the socket: its next datagram may be valid."""
+        """Keep the socket open, since the next datagram may be valid."""
 
-    def _tick(self) -> None:
+    def _run_periodic_step(self) -> None:
         if self._left:
             return
-        self._loop.call_later(STEP_INTERVAL_MS, self._tick)
+        self._loop.call_later(STEP_INTERVAL_MS, self._run_periodic_step)
         if self._socket is None:
             return
         now = self._now()
@@ -194,7 +205,7 @@
         )
 
     def _runs_per_second(self, status: NodeStatus) -> float:
-        """Return what the cores can complete, or 0 while runs are slow because the node is cold."""
+        """Return the runs per second that the cores can complete, or 0 if unknown or during the warm-up."""
         known = status.mean_core_ms > 0.0 and not status.warm_up_remaining_ms
         return 1000.0 * self._cores / status.mean_core_ms if known else 0.0
 
@@ -211,8 +222,8 @@
         for action in actions:
             if isinstance(action, SendMessage):
                 data = encode(self._options.cluster, action.message)
-                self.counts.note_sent(len(data))
-                with contextlib.suppress(OSError):  # handled like a lost datagram
+                self.counts.count_sent(len(data))
+                with contextlib.suppress(OSError):  # the protocol tolerates lost datagrams
                     self._socket.sendto(data, action.address)
             else:
                 logger.debug(
@@ -220,7 +231,7 @@
                     action.name,
                     action.status.value,
                     action.incarnation,
-                    action.silent_ms,
+                    action.report_age_ms,
                 )
 
     def members_page(self) -> bytes:
