--- a/spindlerelay/maintenance/__init__.py
+++ b/spindlerelay/maintenance/__init__.py
@@ -1,4 +1,4 @@
-"""Leases for maintenance: which nodes may be out of service at once, settled among the nodes themselves.
+"""Maintenance leases: the nodes agree among themselves which of them may be out of service at the same time.
 
-Off unless the operator's file has ``[maintenance]``.
+The feature is disabled unless the operator's file has a ``[maintenance]`` table.
 """
--- a/spindlerelay/maintenance/quorum.py
+++ b/spindlerelay/maintenance/quorum.py
@@ -1,24 +1,28 @@
-"""How voters agree on one ledger: a register that is rewritten by whoever has a majority. Pure values.
+"""Consensus on the ledger: a register that a proposer can rewrite with a majority of the voters.
 
-After Lamport's Paxos and its use as a register that is rewritten (CASPaxos, Rystsov 2018). There is no leader
-and no expiry, so nothing depends on a clock, and a process that was stopped for an hour does no harm when it
-goes on: its ballot is outdated by then.
+The protocol is Lamport's Paxos, used as a rewritable register (CASPaxos, Rystsov 2018). There is no leader
+and no expiry, so nothing depends on a clock. A process that was stopped for an hour does no harm when it
+resumes, since its ballot is outdated by then. The module does no I/O; all types are immutable values.
 
 | role | event | action |
 | --- | --- | --- |
-| proposer | a change is requested | sends all voters a prepare with a ballot above any it knows |
-| voter | prepare with a ballot not below its promise | promises it, and returns what it accepted last |
-| proposer | a majority promised | changes the newest ledger returned, and asks for it to be accepted |
-| voter | accept with a ballot not below its promise | accepts it |
+| proposer | a change is requested | sends all voters a prepare with a ballot above any known ballot |
+| voter | prepare with a ballot not below its promise | promises the ballot, and returns its accepted ledger |
+| proposer | a majority promised | changes the newest returned ledger, and sends an accept with the result |
+| voter | accept with a ballot not below its promise | accepts the ledger |
 | proposer | a majority accepted | the ledger is chosen |
-| voter | an older ballot | returns the one it promised; the proposer retries above it |
+| voter | prepare or accept with a lower ballot | returns its promised ballot; the proposer retries above it |
+
+Rules of the protocol:
 
 1. A voter records its vote on disk before it responds. The caller writes the record.
-2. A majority is one of the voters that the ledger names, whoever of them is up. Those that accept are counted
-   among the voters of the proposed ledger, those that promise among those of the ledger that was found: an
-   attempt that finds other voters than it asked retries with those.
-3. A ledger that was found may have been accepted by one voter alone. Before voters are changed it is accepted
-   by a majority as it is, and only then changed; and nothing that was read counts before that.
+2. A majority is counted among all voters that a ledger names, including voters that are down. Acceptances
+   are counted among the voters of the proposed ledger, and promises among the voters of the ledger that the
+   prepare found. If that ledger names other voters than the attempt asked, the proposer retries with the
+   voters of the ledger.
+3. A ledger that a prepare found may have been accepted by a single voter only. Before a change of the
+   voters, a majority therefore accepts the ledger unchanged. A read, too, is valid only after a majority has
+   accepted the ledger that was read.
 4. A directory without a vote takes part in no majority until a ledger names it (``Voter``).
 """
 
@@ -32,7 +36,7 @@
 
 
 class Ballot(NamedTuple):
-    """One attempt of one proposer; ballots are totally ordered."""
+    """Identifies one attempt of one proposer; ballots are totally ordered."""
 
     round: int = 0
     proposer_id: str = ""
@@ -42,7 +46,13 @@
 
 
 class VoterState(NamedTuple):
-    """What a voter has on disk: its promise, and the ledger that it accepted last, by which ballot."""
+    """The state that a voter keeps on disk.
+
+    Attributes:
+        promised: highest ballot that the voter has promised.
+        accepted: ballot of the last accepted ledger.
+        ledger: last accepted ledger.
+    """
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -50,20 +60,24 @@
 
 
 class Prepare(NamedTuple):
-    """The request to promise a ballot."""
+    """Request to promise a ballot."""
 
     ballot: Ballot
 
 
 class Accept(NamedTuple):
-    """The request to accept a ledger."""
+    """Request to accept a ledger."""
 
     ballot: Ballot
     ledger: LeaseLedger
 
 
 class Promised(NamedTuple):
-    """The promise of a ballot; ``accepted`` is the ballot by which the voter accepted the ledger."""
+    """Promise of a ballot, with the voter's last accepted ledger.
+
+    Attributes:
+        accepted: ballot with which the voter accepted the ledger.
+    """
 
     voter: Voter
     ballot: Ballot
@@ -72,14 +86,14 @@
 
 
 class Accepted(NamedTuple):
-    """The acceptance of a ledger."""
+    """Acceptance of a ledger."""
 
     voter: Voter
     ballot: Ballot
 
 
 class BallotRejected(NamedTuple):
-    """A request that is not followed: the voter has promised a higher ballot."""
+    """Rejection of a request, because the voter has promised a higher ballot."""
 
     voter: Voter
     ballot: Ballot
@@ -91,7 +105,7 @@
 
 
 def respond(voter: Voter, state: VoterState, request: Request) -> tuple[VoterState, Reply]:
-    """Return what a voter has to record, and then to reply. An unchanged record needs no write."""
+    """Return the state to record and the reply to send afterwards. An unchanged state needs no write."""
     ballot = request.ballot
     if ballot < state.promised:
         return state, BallotRejected(voter, ballot, state.promised)
@@ -101,9 +115,9 @@
 
 
 class AttemptStage(Enum):
-    """The stage of an attempt.
+    """Stages of an attempt.
 
-    In the second one the ledger that was found is being accepted as it is, before it is changed.
+    In the stage ``CONFIRM`` the voters are asked to accept the ledger that the prepare found, unchanged.
     """
 
     PREPARE = "prepare"
@@ -114,7 +128,7 @@
     DENIED = "denied"
 
 
-# By stage: the stages that a reply may lead to. The other stages are final.
+# The stages that a reply can lead to, by the present stage. Stages without an entry are final.
 TRANSITIONS: dict[AttemptStage, tuple[AttemptStage, ...]] = {
     AttemptStage.PREPARE: (
         AttemptStage.CONFIRM,
@@ -128,33 +142,41 @@
 
 
 class Attempt(NamedTuple):
-    """One ballot of a proposer.
-
-    ``voters`` are those it sent the prepare to. ``ledger`` is the one found, then the one proposed, then the
-    one chosen.
+    """State of a proposer during one ballot.
+
+    Attributes:
+        voters: voters that the prepare is sent to; once a majority has accepted a ledger, the ledger's
+            voters.
+        chosen_ledger: a ledger known to be chosen, which a change of voters requires; None if none is known.
+        promised: promises received.
+        accepted: voters that have accepted the ledger.
+        ledger: the ledger that the prepare found, then the proposed ledger, which becomes the chosen ledger.
+        highest_promised: highest ballot that a voter has promised to another proposer.
+        denial: explanation of a denied change.
     """
 
     ballot: Ballot
     voters: tuple[Voter, ...]
-    chosen_ledger: LeaseLedger | None = None  # known to be chosen, which a change of voters needs
+    chosen_ledger: LeaseLedger | None = None
     stage: AttemptStage = AttemptStage.PREPARE
     promised: tuple[Promised, ...] = ()
     accepted: tuple[Voter, ...] = ()
     ledger: LeaseLedger = LeaseLedger()
-    highest_promised: Ballot = NO_BALLOT  # the highest that a voter has promised to others
+    highest_promised: Ballot = NO_BALLOT
     denial: Denied | None = None
 
     @property
     def recipients(self) -> frozenset[Voter]:
-        """Whom to send the request to.
+        """Return the voters to send the request to.
 
-        A ledger is accepted by the voters that it names. If one that it removes could accept it alone, it
-        would send every proposer to the others, who know nothing of it, and back.
+        Only the voters that a ledger names may accept it. If a voter that the ledger removes could be the
+        only one to accept it, that voter would refer every proposer to the remaining voters, which do not
+        know the ledger and would refer the proposer back.
         """
         return frozenset(self.voters if self.stage is AttemptStage.PREPARE else self.ledger.voters)
 
     def request(self) -> Request | None:
-        """Return what to send now, and again to those who do not reply; None at a final stage."""
+        """Return the request to send, and to resend to voters that do not reply; None in a final stage."""
         match self.stage:
             case AttemptStage.PREPARE:
                 return Prepare(self.ballot)
@@ -165,33 +187,33 @@
 
 
 def is_majority(replied: Sequence[Voter], voters: Sequence[Voter]) -> bool:
-    """Return whether the first include a majority of ``voters``, however many of those are up."""
+    """Return whether ``replied`` includes a majority of all ``voters``, including voters that are down."""
     return 2 * len(set(replied) & set(voters)) > len(voters)
 
 
 def first_attempt(proposer_id: str, voters: tuple[Voter, ...]) -> Attempt:
     """Return the first attempt of a proposer.
 
-    The id is this process's alone: after a restart no ballot may be used a second time.
+    The proposer id must be unique to the process, since no ballot may be used again after a restart.
     """
     return Attempt(Ballot(1, proposer_id), voters)
 
 
 def next_attempt(attempt: Attempt) -> Attempt:
-    """Return the next attempt, with a ballot above all that the proposer has seen or used."""
-    above = max(attempt.highest_promised, attempt.ballot)
+    """Return the next attempt, with a ballot above all ballots that the proposer has seen or used."""
+    highest_ballot = max(attempt.highest_promised, attempt.ballot)
     return Attempt(
-        Ballot(above.round + 1, attempt.ballot.proposer_id),
+        Ballot(highest_ballot.round + 1, attempt.ballot.proposer_id),
         attempt.voters,
         attempt.chosen_ledger,
-        highest_promised=above,
+        highest_promised=highest_ballot,
     )
 
 
 def after_reply(attempt: Attempt, reply: Reply, change: Change | None) -> Attempt:
-    """Return an attempt after one reply; without a ``change`` it reads.
+    """Return the attempt after one reply; an attempt without a ``change`` only reads the ledger.
 
-    A reply to another ballot, or from a directory that was not asked, changes nothing.
+    A reply to another ballot, or from a voter that is not a recipient, is ignored.
     """
     if (
         attempt.stage not in TRANSITIONS
@@ -231,9 +253,9 @@
 
 
 def _propose(attempt: Attempt, change: Change | None) -> Attempt:
-    """Change the newest ledger that a majority returned."""
+    """Apply the change to the newest ledger of the promises, and move to the next stage."""
     found = max(attempt.promised, key=lambda reply: reply.accepted).ledger
-    if found.voters != attempt.voters:  # others vote by now: they have to be asked
+    if found.voters != attempt.voters:  # the voters have changed, and the new ones must be asked
         return attempt._replace(stage=AttemptStage.RETRY, voters=found.voters, chosen_ledger=None)
     if change is None:
         return attempt._replace(stage=AttemptStage.ACCEPT, ledger=found)
--- a/spindlerelay/maintenance/vote_log.py
+++ b/spindlerelay/maintenance/vote_log.py
@@ -1,10 +1,13 @@
-"""A voter's record: its vote is on disk before anybody hears of it. Must not know a peer or the clock.
+"""Durable record of a voter: a vote is on disk before its reply is sent.
 
-    LOCK    locked by the one process that votes with the directory
-    vote    the whole record: a line of JSON, preceded by its CRC-32; replaced, never modified
+The module must not depend on other nodes or on a clock. A voter's directory has two files:
 
-The directory's identity is drawn when it is created: whoever comes back with an empty one is another voter. A
-record that cannot be read does not count as an empty one: the voter would break its promises.
+    LOCK    locked by the only process that votes with the directory
+    vote    the complete record: a line of JSON, preceded by its CRC-32; replaced, never modified
+
+The identity of a directory is drawn at random when the directory is created, so a node that returns with an
+empty directory is another voter. A record that cannot be read must not be treated as an empty record, since
+the voter would break its promises.
 """
 
 from __future__ import annotations
@@ -27,7 +30,7 @@
 
 LAYOUT_VERSION = 1
 FOLDER_ID_BYTES = 8
-MAX_RECORD_BYTES = 1 << 20  # 4,096 leases take a quarter of it
+MAX_RECORD_BYTES = 1 << 20  # a record with 4,096 leases takes a quarter of this
 LOCK_NAME = "LOCK"
 RECORD_NAME = "vote"
 TEMPORARY_SUFFIX = ".tmp"
@@ -35,11 +38,11 @@
 
 
 class InvalidRecordError(SpindlerelayError, ValueError):
-    """Bytes that are no complete record of a layout that this version reads."""
+    """Raised for data that is not a complete record of the supported layout."""
 
 
 def encode(voter: Voter, state: VoterState) -> bytes:
-    """Return the record as it is stored."""
+    """Return the stored form of a voter's record."""
     ledger = state.ledger
     text = ujson.dumps(
         [
@@ -60,9 +63,11 @@
 
 
 def decode(data: bytes) -> tuple[Voter, VoterState]:
-    """Return the voter and its state.
+    """Return the voter and its state from a stored record.
 
-    InvalidRecordError, or another ValueError, TypeError or IndexError, where it is no complete record.
+    Raises:
+        InvalidRecordError: the record is damaged or has another layout.
+        ValueError, TypeError, IndexError: the record does not have the expected structure.
     """
     checksum, _, text = data.partition(b" ")
     text = text.removesuffix(b"\n")
@@ -70,7 +75,7 @@
         raise InvalidRecordError("damaged")
     tree: Any = ujson.loads(text)
     if tree[0] != LAYOUT_VERSION:
-        raise InvalidRecordError(f"of layout {tree[0]}, which is newer than this program's")
+        raise InvalidRecordError(f"of layout {tree[0]}, expected layout {LAYOUT_VERSION}")
     _, voter, promised, accepted, (version, last_number, voters, leases, hold_reason) = tree
     ledger = LeaseLedger(
         version,
@@ -83,15 +88,23 @@
 
 
 def random_folder_id() -> str:
-    """Return an identity for a new directory."""
+    """Return a random identity for a new directory."""
     return os.urandom(FOLDER_ID_BYTES).hex()
 
 
 class VoteLog:
-    """One voter's directory, locked from construction to ``close``.
-
-    ``folder_id`` names a new directory. UnusableError where another process uses it, or where the record is
-    damaged or another node's; OSError as the disk raises it.
+    """A voter's directory, locked from construction to ``close``.
+
+    Args:
+        path: path of the directory.
+        name: name of the node.
+        folder_id: returns the identity of a new directory.
+        disk: the disk operations to use.
+
+    Raises:
+        UnusableStorageError: another process uses the directory, or the record is damaged or belongs to
+            another node.
+        OSError: a disk operation failed.
     """
 
     def __init__(
@@ -99,11 +112,11 @@
     ) -> None:
         self.path = path
         self.disk = disk
-        self.unanswered_requests = 0  # since the disk has failed
+        self.unanswered_requests = 0  # requests without a reply since the disk began to fail
         self.voter: Voter
         self.state: VoterState
         try:
-            self._lock_fd = disk.lock(path, self._at(LOCK_NAME))
+            self._lock_fd = disk.lock(path, self._path_of(LOCK_NAME))
         except BlockingIOError:
             raise UnusableStorageError("in use by another process", "name another folder", path) from None
         try:
@@ -113,9 +126,9 @@
             raise
 
     def answer(self, request: Request) -> Reply | None:
-        """Return the reply to a request, with the vote on disk; None where the disk did not take it.
+        """Record the vote on disk and return the reply; return None if the write failed.
 
-        None stands for a reply that was lost on its way.
+        A proposer treats a missing reply like a reply that the network lost.
         """
         state, reply = respond(self.voter, self.state, request)
         if state == self.state:
@@ -125,7 +138,7 @@
         except OSError as error:
             if not self.unanswered_requests:
                 logger.error(
-                    "maintenance: voting suspended, the disk fails: {}: {}", self.path, error.strerror
+                    "maintenance: voting suspended, cannot write to {}: {}", self.path, error.strerror
                 )
             self.unanswered_requests += 1
             return None
@@ -143,7 +156,7 @@
             self.disk.close(self._lock_fd)
 
     def _open(self, name: str, folder_id: Callable[[], str]) -> None:
-        path = self._at(RECORD_NAME)
+        path = self._path_of(RECORD_NAME)
         if RECORD_NAME not in self.disk.list_names(self.path):
             self.voter = Voter(name, folder_id())
             self.state = VoterState()
@@ -158,8 +171,8 @@
             raise UnusableStorageError(problem, "name another folder", path)
 
     def _write(self, state: VoterState) -> None:
-        """Return once the record is on stable storage under its name, complete."""
-        path = self._at(RECORD_NAME)
+        """Replace the record, and return once it is complete on stable storage under its name."""
+        path = self._path_of(RECORD_NAME)
         temporary_path = path + TEMPORARY_SUFFIX
         fd = self.disk.create(temporary_path, False)
         try:
@@ -170,5 +183,5 @@
         self.disk.rename(temporary_path, path)
         self.disk.sync_directory(self.path)
 
-    def _at(self, name: str) -> str:
+    def _path_of(self, name: str) -> str:
         return os.path.join(self.path, name)  # noqa: PTH118 (Path would normalize what the user wrote)
