--- a/spindlerelay/maintenance/quorum.py
+++ b/spindlerelay/maintenance/quorum.py
@@ -254,14 +254,14 @@
 
 def _propose(attempt: Attempt, change: Change | None) -> Attempt:
     """Apply the change to the newest ledger of the promises, and move to the next stage."""
-    found = max(attempt.promised, key=lambda reply: reply.accepted).ledger
-    if found.voters != attempt.voters:  # the voters have changed, and the new ones must be asked
-        return attempt._replace(stage=AttemptStage.RETRY, voters=found.voters, chosen_ledger=None)
+    newest_ledger = max(attempt.promised, key=lambda reply: reply.accepted).ledger
+    if newest_ledger.voters != attempt.voters:  # the voters have changed, and the new ones must be asked
+        return attempt._replace(stage=AttemptStage.RETRY, voters=newest_ledger.voters, chosen_ledger=None)
     if change is None:
-        return attempt._replace(stage=AttemptStage.ACCEPT, ledger=found)
-    changed = change(found)
+        return attempt._replace(stage=AttemptStage.ACCEPT, ledger=newest_ledger)
+    changed = change(newest_ledger)
     if isinstance(changed, Denied):
-        return attempt._replace(stage=AttemptStage.DENIED, denial=changed, ledger=found)
-    if changed.voters != found.voters and attempt.chosen_ledger != found:
-        return attempt._replace(stage=AttemptStage.CONFIRM, ledger=found)
+        return attempt._replace(stage=AttemptStage.DENIED, denial=changed, ledger=newest_ledger)
+    if changed.voters != newest_ledger.voters and attempt.chosen_ledger != newest_ledger:
+        return attempt._replace(stage=AttemptStage.CONFIRM, ledger=newest_ledger)
     return attempt._replace(stage=AttemptStage.ACCEPT, ledger=changed)
--- a/spindlerelay/membership/failure_detector.py
+++ b/spindlerelay/membership/failure_detector.py
@@ -188,7 +188,7 @@
             self._apply_alive(member, update, newer, at_ms, direct)
         elif update.status is LEFT:
             self._deactivate(member, LEFT, update.incarnation, at_ms)
-        elif newer or at_ms > member.last_report_ms:  # a later report of the member outdates the update
+        elif newer or at_ms > member.last_report_ms:  # otherwise a later report outdates the update
             if update.status is DEAD:
                 self._deactivate(member, DEAD, update.incarnation, at_ms)
             else:
@@ -202,7 +202,8 @@
         member = self._table.add(update, self._now_ms)
         self._prober.insert(member.name)
         if update.age_ms > EARLY_PROBE_AGE_MS:
-            self._prober.insert_next(member.name)  # an update that it is dead may have been missed
+            # An update that declares the member dead may have arrived earlier, while the member was unknown.
+            self._prober.insert_next(member.name)
         self._publish(member, priority=0)
 
     def _apply_alive(
--- a/spindlerelay/membership/messages.py
+++ b/spindlerelay/membership/messages.py
@@ -54,7 +54,6 @@
         cpu_utilization: fraction of the node's cores in use, from 0 to 1.
         runs_per_second: number of runs that the cores can complete per second; 0 until a run has completed.
         state: a ``ReportedState`` value, or another text if the node runs another version.
-        site: site of the node.
         version: version of the node's program.
         weight: requested traffic relative to an average node, whose weight is 1.
     """
