--- a/spindlerelay/consul/__init__.py
+++ b/spindlerelay/consul/__init__.py
@@ -1,5 +1,5 @@
-"""Consul: the node's service in the agent's catalogue, its health there, and endpoint lists read back.
+"""Consul integration: registration and health of the node's service, and endpoint lists from the catalogue.
 
-Health policy, registration and codec are pure; agent client and endpoint watcher are their I/O adapters.
-Nothing here is loaded unless the operator's file has a ``[consul]`` table.
+Health policy, registration and codec do no I/O; the agent client and the endpoint watcher are their I/O
+adapters. The package is imported only if the operator's file has a ``[consul]`` table.
 """
--- a/spindlerelay/consul/agent_client.py
+++ b/spindlerelay/consul/agent_client.py
@@ -1,7 +1,8 @@
-"""I/O adapter of the registration: steps health policy and registration, and carries out their actions.
+"""I/O adapter of the registration: steps the health policy and the registration, and executes their actions.
 
-It never delays a request: all it shares with the node is its status every ``HEALTH_CHECK_INTERVAL_MS`` and
-the maintenance mode. The ACL token is read from its file, goes into one header and nowhere else.
+The client never delays the processing of a request. It reads the node's status every
+``HEALTH_CHECK_INTERVAL_MS``, sets the maintenance mode, and holds rejections for a bounded time. The ACL
+token is read from its file and is used in one request header only.
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 from spindlerelay.transport.http_client import HttpClient, HttpFailure, HttpResponse
 from spindlerelay.transport.timer_wheel import TICK_MS, Timer
 
-HEALTH_CHECK_INTERVAL_MS = 25.0  # while requests are queued; twice that otherwise
+HEALTH_CHECK_INTERVAL_MS = 25.0  # applies while requests are queued; doubled while the queue is empty
 MAX_RESPONSE_BYTES = 256 << 10
 MAX_TOKEN_BYTES = 4096
 
 
 class Options(NamedTuple):
-    """The ``[consul]`` table of the operator's file. Times in ms."""
+    """The ``[consul]`` table of the operator's file; times are in ms."""
 
     address: tuple[str, int]
     service: str
@@ -44,30 +45,30 @@
 
 
 class MonitoredNode(Protocol):
-    """The node, as far as this package uses it."""
+    """The interface of the node that this package uses."""
 
     def status(self) -> NodeStatus:
-        """Return what the node knows of itself."""
+        """Return the node's load and health."""
         ...
 
     def set_maintenance(self, on: bool) -> None:
-        """Accept no new work while ``on``."""
+        """Turn the maintenance mode on or off; while it is on, the node accepts no new requests."""
         ...
 
     def set_rejection_gate(self, gate: protocols.RejectionGate) -> None:
-        """Have the gate decide when a rejection is sent."""
+        """Set the gate that decides when a rejection is sent."""
         ...
 
 
 class TokenError(SpindlerelayError):
-    """The token file cannot be used. The text names file and remedy, never the token."""
+    """Raised for an unusable token file. The message names the file and the remedy, never the token."""
 
 
 def read_token(path: str) -> str:
-    """Return the token in a file, "" where no file is named.
+    """Return the ACL token from a file, or "" for an empty path.
 
     Raises:
-        TokenError: the file cannot be read, or does not hold one word.
+        TokenError: the file cannot be read, or does not contain exactly one word.
     """
     if not path:
         return ""
@@ -77,26 +78,26 @@
     except OSError as error:
         raise TokenError(f"{path}: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise TokenError(f"{path}: a token is plain ASCII text") from None
+        raise TokenError(f"{path}: expected one ASCII word, the ACL token") from None
     if not token or len(token) > MAX_TOKEN_BYTES or not token.isprintable() or " " in token:
-        raise TokenError(f"{path}: expected one word, the ACL token")
+        raise TokenError(f"{path}: expected one word of at most {MAX_TOKEN_BYTES} characters, the ACL token")
     return token
 
 
 class AgentClient:
-    """Keeps the node's service in the agent's catalogue, from the start until the process ends.
+    """Maintains the registration of the node's service with the agent, until the process ends.
 
     Args:
         loop: the node's event loop.
-        options: the operator's table.
+        options: the ``[consul]`` table.
         settings: the node's settings.
-        listen: the address that is registered.
-        node: whose health is reported.
-        seed: of the jitter, and the mark of this process.
-        weight: returns the weight to publish, 1.0 for an average node; None for always 1.0.
+        listen: the address to register.
+        node: the node whose health is reported.
+        seed: seed of the jitter, which also gives the id of this process's instance.
+        weight: returns the weight to publish, 1.0 for an average node; None publishes 1.0.
 
     Raises:
-        TokenError: the token file cannot be used.
+        TokenError: the token file is unusable.
     """
 
     def __init__(
@@ -135,47 +136,48 @@
         self._logged_state: HealthState | None = None
         self._gate = RejectionGate(loop)
         node.set_rejection_gate(self)
-        self._check_health()
+        self._poll_health()
 
     def start_shutdown(self) -> None:
-        """Deregister the service, ahead of the node's own drain."""
+        """Deregister the service before the node drains."""
         self._step([events.ShutdownStarted()])
 
     def hold(self, send: Callable[[], None], due_at_ms: float) -> bool:
         """Hold a rejection until the agent has confirmed that the node is critical.
 
-        Returns False where it has, where the node's health does not ask for that, or where no confirmation
-        is to be expected.
+        Returns:
+            Whether the rejection is held. It is not held if the agent has already confirmed, if the node is
+            not critical, or if no confirmation is expected in time.
         """
-        if self.registration.shows_critical():
+        if self.registration.is_critical_confirmed():
             return False
-        self._look_at_health(self.node.status())
-        return self.registration.publishes_critical() and self._gate.hold(send, due_at_ms)
+        self._update_health(self.node.status())
+        return self.registration.is_critical_pending() and self._gate.hold(send, due_at_ms)
 
     def close(self) -> None:
         """Do nothing: the service was deregistered during the drain."""
 
     def reload(self) -> None:
-        """Read the token file again (SIGHUP). A bad one leaves the old token in use."""
+        """Read the token file again (SIGHUP). An unusable file leaves the previous token in use."""
         try:
             token = read_token(self.options.token_file)
         except TokenError as error:
-            logger.error("consul: token not taken, the old one stays: {}", error)
+            logger.error("consul: token not reloaded, the previous token stays in use: {}", error)
             return
         if token != self.token:
-            logger.info("consul: token read again")
+            logger.info("consul: token reloaded")
         self.token = token
         self._step([events.TokenReloaded()])
 
-    def _check_health(self) -> None:
+    def _poll_health(self) -> None:
         if self.registration.state is RegistrationState.DEREGISTERED:
             return
         status = self.node.status()
         interval = HEALTH_CHECK_INTERVAL_MS if status.queue_utilization else 2 * HEALTH_CHECK_INTERVAL_MS
-        self.loop.call_later(interval, self._check_health)
-        self._look_at_health(status)
+        self.loop.call_later(interval, self._poll_health)
+        self._update_health(status)
 
-    def _look_at_health(self, status: NodeStatus) -> None:
+    def _update_health(self, status: NodeStatus) -> None:
         verdict = self.health_policy.step(self.loop.now(), status)
         if self.weight is not None:
             verdict = verdict._replace(full_weight=max(1, round(FULL_WEIGHT * self.weight())))
@@ -190,7 +192,7 @@
     def _step(self, received: list[events.Event]) -> None:
         for action in self.registration.step(self.loop.now(), received):
             self._execute(action)
-        if not self.registration.publishes_critical():
+        if not self.registration.is_critical_pending():
             self._gate.release()
 
     def _execute(self, action: events.Action) -> None:
--- a/spindlerelay/consul/api_codec.py
+++ b/spindlerelay/consul/api_codec.py
@@ -1,7 +1,8 @@
-"""Codec of the agent's HTTP API: requests of the registration and of the endpoint watcher, and back. Pure.
+"""Codec of the agent's HTTP API, for the registration and the endpoint watcher.
 
-Source: Consul's HTTP API, version 1 (agent/service, agent/check, health). Responses are untrusted text: what
-does not have the documented shape becomes a ``Result`` other than OK, or None; it never raises.
+The API is version 1 of Consul's HTTP API (agent/service, agent/check, health). The module does no I/O.
+Responses are untrusted: a response without the documented structure is decoded as a ``Result`` other than
+OK, or as None, and never raises.
 """
 
 from __future__ import annotations
@@ -21,17 +22,18 @@
 from spindlerelay.transport.http_client import HttpFailure, HttpRequest, HttpResponse
 
 MIN_WARNING_WEIGHT = 1  # the agent rejects weights under 1
-MAX_DETAIL_CHARS = 100  # of an agent's own text in a log line
-MAX_INSTANCES = 4096  # of one service
+MAX_DETAIL_CHARS = 100  # limits the part of the agent's response that is logged
+MAX_INSTANCES = 4096  # limits the decoded instances of one service
 MAX_INDEX_DIGITS = 20
 MAX_PORT = 65535
-HEALTH_STATUSES = (200, 429, 503)  # of a read: the status tells the service's health
+HEALTH_STATUSES = (200, 429, 503)  # a health query answers passing, warning and critical with these codes
 RESULTS = {401: Result.DENIED, 403: Result.DENIED, 404: Result.ABSENT, 429: Result.BUSY}
-LOST_STATE_MESSAGES = ("Unknown check", "does not have associated TTL", "Unknown service")  # with status 500
+# Texts of responses with status 500 from an agent that does not know the check or the service (any more).
+LOST_STATE_MESSAGES = ("Unknown check", "does not have associated TTL", "Unknown service")
 
 
 class ServiceDefinition(NamedTuple):
-    """What of the service stays while the process lives. Times in ms."""
+    """The properties of the service that are constant while the process runs; times are in ms."""
 
     service: str
     service_id: str
@@ -49,10 +51,14 @@
         return f"service:{self.service_id}"
 
 
-class Node(NamedTuple):
-    """One instance of a service in the catalogue.
+class ServiceInstance(NamedTuple):
+    """An instance of a service in the catalogue.
 
-    ``status`` is the worst of its checks (passing, warning or critical), ``weight`` the one for this status.
+    Attributes:
+        id: service id of the instance.
+        address: host and port of the instance.
+        status: worst status of its checks: passing, warning or critical.
+        weight: weight of the instance in this status.
     """
 
     id: str
@@ -62,35 +68,35 @@
 
 
 class QueryResult(NamedTuple):
-    """Response to a blocking query: the index of the next query, and the instances."""
+    """The result of a blocking query: the index for the next query, and the instances of the service."""
 
     next_index: int
-    instances: tuple[Node, ...]
+    instances: tuple[ServiceInstance, ...]
 
 
 def go_duration(ms: float) -> str:
-    """Return a duration in Go's syntax: ``15000.0`` is ``15s``."""
+    """Return a duration in Go's syntax, for example ``15s`` for 15000.0 ms."""
     return f"{ms / 1000:.0f}s" if ms % 1000 == 0 else f"{ms:.0f}ms"
 
 
-# The registration's requests
+# Requests of the registration
 
 
 def encode_request(request: AgentRequest, service: ServiceDefinition, token: str) -> HttpRequest:
-    """Return the HTTP request that carries out an agent request."""
+    """Return the HTTP request for an agent request."""
     headers = _headers(token)
     service_id = quote(service.service_id, safe="")
     match request.operation:
         case Operation.READ:
             return HttpRequest("GET", f"/v1/agent/health/service/id/{service_id}", headers)
         case Operation.UPDATE:
-            body = _json({"Status": request.status, "Output": request.output})
+            body = _encode_json({"Status": request.status, "Output": request.output})
             check_id = quote(service.check_id, safe="")
             return HttpRequest("PUT", f"/v1/agent/check/update/{check_id}", headers, body)
         case Operation.DEREGISTER:
             return HttpRequest("PUT", f"/v1/agent/service/deregister/{service_id}", headers)
         case Operation.REGISTER:
-            body = _json(_registration(request, service))
+            body = _encode_json(_registration(request, service))
             return HttpRequest("PUT", "/v1/agent/service/register", headers, body)
 
 
@@ -115,7 +121,7 @@
 
 
 def decode_response(request: AgentRequest, response: HttpResponse | HttpFailure) -> RequestCompleted:
-    """Return how a request has ended."""
+    """Return the outcome of a request."""
     operation = request.operation
     if isinstance(response, HttpFailure):
         return RequestCompleted(operation, Result(response.kind), response.detail)
@@ -125,7 +131,7 @@
     if operation is Operation.READ and status in HEALTH_STATUSES:
         if service := _registered_service(response.body):
             return RequestCompleted(operation, Result.OK, "", service)
-        return RequestCompleted(operation, Result.GARBLED if status == 200 else Result.BUSY, detail)
+        return RequestCompleted(operation, Result.MALFORMED if status == 200 else Result.BUSY, detail)
     if status == 200:
         return RequestCompleted(operation, Result.OK)
     if status >= 500 and any(message in text for message in LOST_STATE_MESSAGES):
@@ -158,11 +164,11 @@
     return check_id == "_node_maintenance" or check_id.startswith("_service_maintenance:")
 
 
-# The endpoint watcher's queries
+# Queries of the endpoint watcher
 
 
 def encode_blocking_query(service_name: str, index: int, wait_ms: float, token: str) -> HttpRequest:
-    """Return a blocking query for the instances of a service; index 0 asks for the present ones."""
+    """Return a blocking query for the instances of a service; with index 0 the query does not block."""
     path = f"/v1/health/service/{quote(service_name, safe='')}"
     if index:
         path += "?" + urlencode({"index": str(index), "wait": go_duration(wait_ms)})
@@ -170,7 +176,7 @@
 
 
 def decode_blocking_query(response: HttpResponse) -> QueryResult | None:
-    """Return index and instances, or None where the response is not of the documented shape."""
+    """Return index and instances, or None if the response does not have the documented structure."""
     index = response.headers.get("x-consul-index", "")
     tree = _parse_json(response.body)
     if response.status != 200 or not isinstance(tree, list):
@@ -184,24 +190,24 @@
     return QueryResult(int(index), tuple(sorted(instance for instance in instances if instance)))
 
 
-def _instance(item: dict[str, Any]) -> Node | None:
+def _instance(item: dict[str, Any]) -> ServiceInstance | None:
     service = item["Service"]
     statuses = {str(check["Status"]) for check in item["Checks"]}
-    status = next((each for each in ("critical", "warning") if each in statuses), "passing")
+    status = next((severe for severe in ("critical", "warning") if severe in statuses), "passing")
     weights = service.get("Weights") or {}
     weight = int(weights.get("Warning" if status == "warning" else "Passing", 1))
     host = str(service.get("Address") or item["Node"]["Address"])
     port = int(service["Port"])
     if not 0 < port <= MAX_PORT:
         return None
-    return Node(str(service["ID"]), (host, port), status, max(0, weight))
+    return ServiceInstance(str(service["ID"]), (host, port), status, max(0, weight))
 
 
 def _headers(token: str) -> tuple[tuple[str, str], ...]:
     return (("X-Consul-Token", token),) if token else ()
 
 
-def _json(value: Any) -> bytes:
+def _encode_json(value: Any) -> bytes:
     return ujson.dumps(value, escape_forward_slashes=False).encode()
 
 
--- a/spindlerelay/consul/health_policy.py
+++ b/spindlerelay/consul/health_policy.py
@@ -1,20 +1,23 @@
-"""Health of a node as the catalogue shows it. Pure: stepped with a time and a ``NodeStatus``.
-
-A verdict is a ``HealthState`` with a reason and a weight. Worse states are entered at once, better ones only
-after they have lasted: readers of the catalogue act seconds late and their answer comes back as load, so a
-policy that followed each figure would oscillate with its own effect. The rules of this module:
-
-1. ``SATURATED`` (critical) is reached before the admission controller rejects for want of capacity: at a
-   queue utilization that leaves room, or when the trend would fill the queue before an update takes effect.
-2. A node leaves ``SATURATED`` or ``UNHEALTHY`` only through ``DEGRADED``, with a small weight that grows by
-   steps (slow start).
-3. ``WARMING_UP`` ends once and does not come back while the interpreter lives.
-4. Leaving a state takes a dwell derived from the settings. Out of a critical state it doubles with each
-   critical time that follows the last one soon; out of a degraded one it is longer during the warm-up, when
-   rising speed makes every figure swing.
-5. A queue in use makes a node ``DEGRADED`` only when that lasts: a few arrivals in a row do not.
-
-It must not depend on the agent's protocol or on I/O.
+"""Policy that derives a node's health, as the catalogue shows it, from the node's own status.
+
+A step takes a time and a ``NodeStatus``, and returns a verdict: a ``HealthState`` with a reason and a
+weight. A worse state is entered at once, and a better state only after the status has indicated it for a
+dwell time. Readers of the catalogue react seconds late, and their reaction changes the node's load, so a
+policy that followed every change of the status would oscillate through this feedback. Rules of the policy:
+
+1. ``SATURATED`` (critical) is entered before the admission controller rejects requests for lack of capacity:
+   either at a queue utilization that leaves capacity, or when the trend would fill the queue before an update
+   takes effect.
+2. A node leaves ``SATURATED`` or ``UNHEALTHY`` only through ``DEGRADED`` or ``WARMING_UP``, with a small
+   weight that grows in steps (slow start).
+3. ``WARMING_UP`` ends once and is not entered again while the interpreter process runs.
+4. A state is left only after a dwell time that is derived from the settings. The dwell time of a critical
+   state doubles with every critical period that begins soon after the previous one. The dwell time of a
+   degraded state is longer during the warm-up, when the rising speed makes all measurements fluctuate.
+5. A partly filled queue makes a node ``DEGRADED`` only if it lasts, so that a few successive arrivals have no
+   effect.
+
+The module must not depend on the agent's protocol or do I/O.
 """
 
 from __future__ import annotations
@@ -25,30 +28,32 @@
 from spindlerelay.api import Settings
 from spindlerelay.node.health import NodeStatus
 
-DWELL_FRACTION = 3.5  # of the shortest latency objective: load returns with the lag of the list
-WEIGHT_STEP_FRACTION = 2.0  # of the shortest latency objective, between two steps of the weight
-FLAP_WINDOW_MS = 30_000.0  # a critical time this soon after the last one doubles the dwell
+# DWELL_FRACTION, WEIGHT_STEP_FRACTION and UNREACHABLE_FRACTION are fractions of the shortest latency
+# objective.
+DWELL_FRACTION = 3.5  # dwell time, which covers the delay with which load returns through the endpoint list
+WEIGHT_STEP_FRACTION = 2.0  # time between two increases of the weight
+FLAP_WINDOW_MS = 30_000.0  # a critical period that follows the previous one within this time is flapping
 MAX_DWELL_FACTOR = 8.0
 WARM_UP_DWELL_FACTOR = 3.0
-UNREACHABLE_FRACTION = 0.7  # of the shortest latency objective without a connection to the interpreter
+UNREACHABLE_FRACTION = 0.7  # time without a connection to the interpreter that makes a node unhealthy
 SATURATED_UTILIZATION = 0.6
-WARM_UP_SATURATED_UTILIZATION = 0.3  # lower, as few completed runs tell of it yet
+WARM_UP_SATURATED_UTILIZATION = 0.3  # lower than in normal operation, since few runs have been observed yet
 RECOVERED_UTILIZATION = 0.25
-DEGRADED_UTILIZATION = 0.3  # in the mean of UTILIZATION_MEAN_MS
+DEGRADED_UTILIZATION = 0.3  # threshold of the mean over UTILIZATION_MEAN_MS
 UTILIZATION_MEAN_MS = 1000.0
-UPDATE_LATENCY_MS = 100.0  # an update to the agent and its blocking queries
+UPDATE_LATENCY_MS = 100.0  # time of an update to the agent and of the blocking queries that deliver it
 TREND_WINDOW_MS = 200.0
-SLOWED_FACTOR = 2.5  # times the best mean time on a core; crowding alone stays under 2
-RECOVERED_FACTOR = 1.6
-BASELINE_DRIFT_PER_S = 0.02  # of the best time towards the present one: work may get heavier
+DEGRADED_SLOWDOWN = 2.5  # ratio to the best mean time on a core; contention for cores alone stays below 2
+RECOVERED_SLOWDOWN = 1.6
+BASELINE_DRIFT_PER_S = 0.02  # the best time drifts towards the present time, since work may become heavier
 STORE_UNREACHABLE_MS = 1500.0
 WEIGHT_STEP_FACTOR = 2.0
-RECOVERY_WEIGHT = 25  # of FULL_WEIGHT, after a critical time
+RECOVERY_WEIGHT = 25  # initial weight after a critical period, out of FULL_WEIGHT
 FULL_WEIGHT = 100
 
 
 class HealthState(Enum):
-    """State of a node as readers of the catalogue see it."""
+    """Health of a node as readers of the catalogue see it."""
 
     WARMING_UP = "cold"
     PASSING = "passing"
@@ -70,8 +75,9 @@
 class HealthVerdict(NamedTuple):
     """State, reason and weights to publish.
 
-    ``weight`` is out of ``FULL_WEIGHT`` and counts while the check is not passing; ``full_weight`` is the
-    weight of a healthy node of this power, 100 for an average one.
+    Attributes:
+        weight: weight while the check is not passing, out of ``FULL_WEIGHT``.
+        full_weight: weight of a healthy node of this capacity, 100 for an average node.
     """
 
     state: HealthState
@@ -91,14 +97,14 @@
 
 
 class HealthPolicy:
-    """Derives the health of one node from its own status, from the start of the process on.
+    """Derives the health of one node from its status, beginning at the start of the process.
 
     Args:
-        settings: the classes' latency objectives set the dwell times.
+        settings: settings with the classes' latency objectives, which determine the dwell times.
     """
 
     def __init__(self, settings: Settings) -> None:
-        shortest = min(spec.latency_objective_ms for spec in settings.classes)
+        shortest = min(class_settings.latency_objective_ms for class_settings in settings.classes)
         self.dwell_ms = DWELL_FRACTION * shortest
         self.weight_step_ms = WEIGHT_STEP_FRACTION * shortest
         self.unreachable_ms = UNREACHABLE_FRACTION * shortest
@@ -108,17 +114,17 @@
         self._dwell_factor = 1.0
         self._last_critical_at = -FLAP_WINDOW_MS
         self._entered_at = 0.0
-        self._last_confirmed_at = 0.0  # when the figures last asked for the present state
+        self._last_confirmed_at = 0.0  # time at which the status last indicated the present state
         self._weight_raised_at = 0.0
         self._baseline_core_ms = 0.0
-        self._trend: list[tuple[float, float]] = []  # time and queue utilization
+        self._trend: list[tuple[float, float]] = []  # pairs of time and queue utilization
         self._mean_utilization = 0.0
         self._last_step_at = 0.0
         self._starting = True
         self._rejected_count = 0
 
     def step(self, now: float, status: NodeStatus) -> HealthVerdict:
-        """Return the verdict at ``now``, a time in ms that does not run back."""
+        """Return the verdict at ``now``, a time in ms on a monotonic clock."""
         rejecting = status.rejected_count > self._rejected_count
         self._rejected_count = status.rejected_count
         slowdown = self._slowdown(now, status)
@@ -126,7 +132,7 @@
         assessed, reason = self._assess(status, rejecting, utilization, slowdown)
         present = self.verdict.state
         if self._starting and status.started:
-            self._starting = False  # a start needs no recovery: the state is entered at once
+            self._starting = False  # the first state after the start needs no recovery and is entered at once
             self._enter(now, assessed, reason, status)
         elif assessed is present:
             self._last_confirmed_at = now
@@ -141,7 +147,7 @@
     def _assess(
         self, status: NodeStatus, rejecting: bool, utilization: float, slowdown: float
     ) -> tuple[HealthState, str]:
-        """Return the state that the present figures ask for by themselves, and the reason."""
+        """Return the state that the present status indicates, regardless of dwell times, and the reason."""
         if not status.started:
             return HealthState.UNHEALTHY, "starting: the interpreter has not been reached"
         if status.interpreter_down_ms > self.unreachable_ms:
@@ -154,13 +160,13 @@
         return self._assess_speed(status, slowdown)
 
     def _assess_speed(self, status: NodeStatus, slowdown: float) -> tuple[HealthState, str]:
-        """Return the state of a node that is reached and has capacity left, and the reason."""
+        """Return the state of a node that has capacity left and a reachable interpreter, and the reason."""
         if status.self_ejected:
             return HealthState.DEGRADED, "slowed: requests lie unread"
         if status.store_down_ms > STORE_UNREACHABLE_MS:
             return HealthState.DEGRADED, "the store refuses connections"
         degraded = self.verdict.state is HealthState.DEGRADED
-        if slowdown >= (RECOVERED_FACTOR if degraded else SLOWED_FACTOR):
+        if slowdown >= (RECOVERED_SLOWDOWN if degraded else DEGRADED_SLOWDOWN):
             return HealthState.DEGRADED, "slowing: runs take over twice their best time"
         if status.warm_up_remaining_ms > 0:
             return HealthState.WARMING_UP, "warming up"
@@ -169,7 +175,7 @@
         return HealthState.PASSING, "serving"
 
     def _saturation_threshold(self, status: NodeStatus) -> float:
-        """Return the queue utilization from which on the node counts as saturated (hysteresis)."""
+        """Return the queue utilization at which the node counts as saturated, with hysteresis."""
         if self.verdict.state is HealthState.SATURATED:
             return RECOVERED_UTILIZATION
         if status.warm_up_remaining_ms > 0:
@@ -177,7 +183,7 @@
         return SATURATED_UTILIZATION
 
     def _slowdown(self, now: float, status: NodeStatus) -> float:
-        """Return the mean time on a core over the best one seen since the warm-up."""
+        """Return the ratio of the mean time on a core to the best mean time since the warm-up."""
         present_ms = status.mean_core_ms
         if status.warm_up_remaining_ms > 0 or not present_ms:
             return 1.0
@@ -189,7 +195,7 @@
         return present_ms / self._baseline_core_ms
 
     def _predicted_utilization(self, now: float, utilization: float) -> float:
-        """Return the queue utilization expected when an update sent now has reached its readers."""
+        """Return the queue utilization expected when an update that is sent now reaches the readers."""
         elapsed = now - self._last_step_at
         self._mean_utilization += (utilization - self._mean_utilization) * min(
             1.0, elapsed / UTILIZATION_MEAN_MS
@@ -197,14 +203,14 @@
         self._trend.append((now, utilization))
         while now - self._trend[0][0] > TREND_WINDOW_MS:
             self._trend.pop(0)
-        since, earlier = self._trend[0]
-        too_short = now - since < TREND_WINDOW_MS / 2
-        if too_short or utilization <= earlier or utilization < DEGRADED_UTILIZATION / 2:
+        window_start, earlier_utilization = self._trend[0]
+        too_short = now - window_start < TREND_WINDOW_MS / 2
+        if too_short or utilization <= earlier_utilization or utilization < DEGRADED_UTILIZATION / 2:
             return utilization
-        return utilization + (utilization - earlier) / (now - since) * UPDATE_LATENCY_MS
+        return utilization + (utilization - earlier_utilization) / (now - window_start) * UPDATE_LATENCY_MS
 
     def _dwell(self, status: NodeStatus) -> float:
-        """Return the time in ms for which a better state must last before it is entered."""
+        """Return the time in ms for which the status must indicate a better state before it is entered."""
         if self.verdict.state in CRITICAL_STATES:
             return self.dwell_ms * self._dwell_factor
         if self.verdict.weight < FULL_WEIGHT // 2:
@@ -214,7 +220,7 @@
     def _enter(self, now: float, state: HealthState, reason: str, status: NodeStatus) -> None:
         was_critical = self.verdict.state in CRITICAL_STATES
         is_critical = state in CRITICAL_STATES
-        recovering = was_critical and self._entered_at > 0.0  # the state at the start is none to recover from
+        recovering = was_critical and self._entered_at > 0.0  # the initial state needs no recovery
         if is_critical and not was_critical:
             flapping = now - self._last_critical_at < FLAP_WINDOW_MS
             self._dwell_factor = min(MAX_DWELL_FACTOR, 2.0 * self._dwell_factor) if flapping else 1.0
@@ -232,7 +238,7 @@
         self.verdict = HealthVerdict(state, reason, weight)
 
     def _confirm(self, now: float, reason: str, status: NodeStatus) -> None:
-        """Stay in the present state; during the warm-up the weight follows the speed by steps."""
+        """Stay in the present state; during the warm-up, adapt the weight to the speed in steps."""
         weight = self.verdict.weight
         step_due = now - self._weight_raised_at >= self.weight_step_ms / 2
         if self.verdict.state is HealthState.WARMING_UP and step_due:
@@ -242,7 +248,7 @@
         self.verdict = HealthVerdict(self.verdict.state, reason, weight)
 
     def _improve(self, now: float, assessed: HealthState, status: NodeStatus) -> None:
-        """Move towards a better state, once the figures have asked for it long enough."""
+        """Move towards a better state, once the status has indicated it for the dwell time."""
         present = self.verdict
         too_soon = now - self._last_confirmed_at < self._dwell(status)
         if too_soon and present.state is not HealthState.WARMING_UP:
@@ -261,7 +267,7 @@
 
 
 def _warm_up_weight(status: NodeStatus) -> int:
-    """Return the weight for the present speed, in quarters, so that a warm-up costs few registrations."""
+    """Return the weight for the present speed, in steps of a quarter to limit the number of registrations."""
     return max(RECOVERY_WEIGHT, int(status.speed_fraction * 4) * FULL_WEIGHT // 4)
 
 
--- a/spindlerelay/consul/registration.py
+++ b/spindlerelay/consul/registration.py
@@ -1,26 +1,29 @@
-"""State machine of the node's service in the agent's catalogue. Pure: ``step(now, events)`` gives actions.
-
-At most one request is pending. What the agent has is *known* only from its responses, so after every doubt (a
-time-out, a broken response, a 404) it counts as unknown and is read again. What it should have follows from
-the health verdict and from whether the node shuts down. Each step compares the two and makes the one request
-that brings them nearer. The rules of this module:
-
-1. Nothing is registered once the shutdown has started; a registration then pending is first waited for,
-   briefly, and the service is deregistered in any case. It counts as gone only when the agent has said 404
-   to a read after the removal, since a registration that was given up may still have been carried out.
-2. A new process reads before it registers. An id that a live instance elsewhere holds is not taken, and an id
-   that another instance has taken is not taken back: both are logged, and the service is read now and then.
-3. Maintenance mode is set by the operator: it is reported to the node and never lifted here.
-4. Failures of the agent cost the node nothing: each request has a time-out, waits between attempts double
-   with jitter, and each kind of failure is logged once until the agent answers again.
-
-    state                   means                                        is left for
+"""State machine that keeps the node's service registered with the agent (reconciliation).
+
+The module does no I/O: ``step(now, events)`` returns actions. At most one request is pending. The state at
+the agent is known only from the agent's responses; after a time-out, an incomplete response or a 404 it is
+unknown and is read again. The desired state follows from the health verdict and from whether the node is
+shutting down. Every step compares the two states and makes the one request that reduces the difference.
+Rules:
+
+1. Nothing is registered once the shutdown has started. The state machine first waits briefly for a
+   registration that is pending at that time, and deregisters the service in any case. The service counts as
+   removed only when the agent has answered 404 to a read after the deregistration, since a cancelled
+   registration may still have been executed.
+2. A new process reads before it registers. It does not take an id that is held by a live instance at another
+   address, and does not take back an id that another instance has taken. Both conflicts are logged, and the
+   service is read periodically.
+3. The operator sets the maintenance mode. The mode is reported to the node and is never lifted by the node.
+4. Failures of the agent do not affect the node: every request has a time-out, the backoff between attempts
+   doubles and has jitter, and every kind of failure is logged once until the agent answers again.
+
+    state                   meaning                                      next states
     UNREGISTERED            nothing is known of the service              REGISTERING, CONFLICT
     REGISTERING             a registration is pending or must be made    WARMING_UP..UNHEALTHY, CONFLICT
     WARMING_UP..UNHEALTHY   registered; the check follows the verdict    each other, REGISTERING, CONFLICT
-    CONFLICT                the id is another live instance's            REGISTERING, when that one is gone
+    CONFLICT                another live instance uses the id            REGISTERING, when the id is free
     DRAINING                the service is being deregistered            DEREGISTERED
-    DEREGISTERED            the agent has confirmed its absence          (end)
+    DEREGISTERED            the agent has confirmed the removal          none
 """
 
 from __future__ import annotations
@@ -50,21 +53,22 @@
 BACKOFF_MS = 200.0
 BACKOFF_MAX_MS = 10_000.0
 MAX_BACKOFF_DOUBLINGS = 10
-JITTER = 0.5  # part of a wait that is random, so that a fleet does not retry in step
-DENIED_BACKOFF_MS = 5000.0  # only a new token helps, and its reload ends the wait at once
-SHUTDOWN_REGISTRATION_WAIT_MS = 300.0  # for a registration that is pending when the shutdown starts
+JITTER = 0.5  # random fraction of a backoff, which prevents synchronized retries of a fleet
+DENIED_BACKOFF_MS = 5000.0  # long because only a new token helps; a token reload ends the backoff at once
+SHUTDOWN_REGISTRATION_WAIT_MS = 300.0  # limit for a registration that is pending when the shutdown starts
 SHUTDOWN_BACKOFF_MS = 50.0
-SHUTDOWN_BACKOFF_MAX_MS = 400.0  # a shutdown takes seconds in all
-READ_INTERVAL_FRACTION = 0.5  # of the check's TTL: maintenance mode and conflicts are seen by reading
-HEARTBEAT_FRACTION = 1 / 3  # of the check's TTL: two updates may get lost
-TIMEOUT_FRACTION = 0.25  # of the check's TTL
+SHUTDOWN_BACKOFF_MAX_MS = 400.0  # short because the whole shutdown takes only seconds
+# READ_INTERVAL_FRACTION, HEARTBEAT_FRACTION and TIMEOUT_FRACTION are fractions of the check's TTL.
+READ_INTERVAL_FRACTION = 0.5  # only reads detect the maintenance mode and conflicts
+HEARTBEAT_FRACTION = 1 / 3  # tolerates the loss of two updates
+TIMEOUT_FRACTION = 0.25
 TIMEOUT_MAX_MS = 2000.0
-CRITICAL = "critical"  # status of a check
-WEIGHT_UPDATE_INTERVAL_MS = 1000.0  # between registrations that change nothing but a weight
+CRITICAL = "critical"
+WEIGHT_UPDATE_INTERVAL_MS = 1000.0  # minimum time between registrations that change only a weight
 
 
 class RegistrationState(Enum):
-    """Where the registration stands; those from WARMING_UP to UNHEALTHY are the health policy's."""
+    """States of the registration; WARMING_UP to UNHEALTHY correspond to the health policy's states."""
 
     UNREGISTERED = "unregistered"
     REGISTERING = "registering"
@@ -78,7 +82,7 @@
     DEREGISTERED = "gone"
 
 
-STATE_OF_HEALTH = {
+STATE_BY_HEALTH = {
     HealthState.WARMING_UP: RegistrationState.WARMING_UP,
     HealthState.PASSING: RegistrationState.PASSING,
     HealthState.DEGRADED: RegistrationState.DEGRADED,
@@ -88,12 +92,12 @@
 
 
 class Registration:
-    """Registration of one service.
+    """Keeps one service registered.
 
     Args:
-        seed: of the jitter.
-        instance_id: marks this process, so that it knows its own registration.
-        address: ``host:port`` that is registered.
+        seed: seed of the jitter.
+        instance_id: identifies this process, so that it recognizes its own registration.
+        address: ``host:port`` to register.
         ttl_ms: TTL of the agent's check.
     """
 
@@ -105,9 +109,9 @@
         self.state = RegistrationState.UNREGISTERED
         self.verdict: HealthVerdict | None = None
         self.pending_operation: Operation | None = None
-        self.failures = 0  # in a row
+        self.failures = 0  # number of consecutive failures
         self.maintenance = False
-        self._registered: bool | None = None  # None: not known
+        self._registered: bool | None = None  # None while unknown
         self._has_read = False
         self._conflict = False
         self._shutting_down = False
@@ -117,15 +121,15 @@
         self._confirmed_weights = NO_WEIGHTS
         self._sent_weights = NO_WEIGHTS
         self._weights_confirmed_at = 0.0
-        self._heartbeat_at = 0.0
-        self._read_at = 0.0
-        self._not_before = 0.0  # end of the backoff
-        self._registration_deadline = 0.0  # in a shutdown
+        self._next_heartbeat_at = 0.0
+        self._next_read_at = 0.0
+        self._backoff_ends_at = 0.0
+        self._registration_deadline = 0.0  # limit for a pending registration during a shutdown
         self._logged_failures: set[Result] = set()
         self._actions: list[Action] = []
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
-        """Take in what has happened and return what to do; ``now`` in ms."""
+        """Process events and return the resulting actions; ``now`` is in ms."""
         self._actions = []
         for event in events:
             self._handle(now, event)
@@ -143,15 +147,15 @@
             self._actions.append(ScheduleStep(self._next_step_at(now)))
         return self._actions
 
-    def shows_critical(self) -> bool:
+    def is_critical_confirmed(self) -> bool:
         """Return whether the agent has confirmed that the check is critical."""
         return bool(self._registered) and self._confirmed_check[0] == CRITICAL
 
-    def publishes_critical(self) -> bool:
-        """Return whether the agent, which answers, is about to learn that the check is critical."""
-        wanted = self.verdict is not None and self.verdict.status == CRITICAL
-        answers = bool(self._registered) and not self.failures and not self._conflict
-        return wanted and answers and not self._shutting_down and not self.shows_critical()
+    def is_critical_pending(self) -> bool:
+        """Return whether a critical status is about to be sent to an agent that is responding."""
+        critical = self.verdict is not None and self.verdict.status == CRITICAL
+        responding = bool(self._registered) and not self.failures and not self._conflict
+        return critical and responding and not self._shutting_down and not self.is_critical_confirmed()
 
     # Events
 
@@ -196,29 +200,29 @@
                 self._update_completed(now, event)
             case Operation.DEREGISTER:
                 self._deregistered = True
-                self._registered = None  # a read will tell
+                self._registered = None  # unknown until a read confirms the removal
 
     def _reset_backoff(self) -> None:
         self.failures = 0
-        self._not_before = 0.0
+        self._backoff_ends_at = 0.0
 
     def _request_failed(self, now: float, event: RequestCompleted) -> None:
-        """Back off. What the request was to change is in doubt."""
+        """Start the backoff. The effect of a failed registration or deregistration is unknown."""
         self.failures += 1
         if event.operation in (Operation.REGISTER, Operation.DEREGISTER):
             self._registered = None
-        first = SHUTDOWN_BACKOFF_MS if self._shutting_down else BACKOFF_MS
-        longest = SHUTDOWN_BACKOFF_MAX_MS if self._shutting_down else BACKOFF_MAX_MS
-        wait = min(longest, first * 2.0 ** min(self.failures - 1, MAX_BACKOFF_DOUBLINGS))
+        initial_ms = SHUTDOWN_BACKOFF_MS if self._shutting_down else BACKOFF_MS
+        max_ms = SHUTDOWN_BACKOFF_MAX_MS if self._shutting_down else BACKOFF_MAX_MS
+        backoff_ms = min(max_ms, initial_ms * 2.0 ** min(self.failures - 1, MAX_BACKOFF_DOUBLINGS))
         if event.result is Result.DENIED and not self._shutting_down:
-            wait = DENIED_BACKOFF_MS
-        self._not_before = now + wait * (1.0 - JITTER * self.random.random())
+            backoff_ms = DENIED_BACKOFF_MS
+        self._backoff_ends_at = now + backoff_ms * (1.0 - JITTER * self.random.random())
         if event.result not in self._logged_failures:
             self._logged_failures.add(event.result)
             self._log("warning", f"{event.operation.value} failed: {event.result.value}: {event.detail}")
 
     def _read_completed(self, now: float, event: RequestCompleted) -> None:
-        self._read_at = now + READ_INTERVAL_FRACTION * self.ttl_ms
+        self._next_read_at = now + READ_INTERVAL_FRACTION * self.ttl_ms
         self._has_read = True
         service = event.service
         if event.result is Result.ABSENT or service is None:
@@ -230,11 +234,11 @@
             self._conflict = False
             self._set_maintenance(service.maintenance)
         elif self._shutting_down:
-            self._registered = False  # another instance's, which stays
+            self._registered = False  # the service belongs to another instance and is not removed
         elif self._registered or self._is_live_elsewhere(service):
             self._enter_conflict(service)
         else:
-            # A former process at this address, or a dead instance: its registration is replaced.
+            # The registration of an earlier process at this address, or of a dead instance, is replaced.
             self._registered = False
             self._conflict = False
             self._set_maintenance(service.maintenance)
@@ -246,8 +250,8 @@
         if not self._conflict:
             self._log(
                 "error",
-                f"id in use by another instance at {service.address}; this one stays out of the catalogue: "
-                "give each node an id of its own",
+                f"service id in use by another instance at {service.address}, this node is not registered: "
+                "give every node its own id",
             )
         self._registered = False
         self._conflict = True
@@ -259,23 +263,23 @@
         if self._registered:
             self._confirmed_weights = self._sent_weights
             self._weights_confirmed_at = now
-            self._confirmed_check = ("", "")  # a check may start anew with its service
-            self._heartbeat_at = now
+            self._confirmed_check = ("", "")  # registering a service may reset its check
+            self._next_heartbeat_at = now
 
     def _update_completed(self, now: float, event: RequestCompleted) -> None:
         if event.result is Result.ABSENT:
-            self._registered = False  # the agent has lost its state
-            self._log("warning", "the agent does not know this node any more; registering again")
+            self._registered = False  # the agent has lost the registration
+            self._log("warning", "the agent no longer knows the service, registering it again")
         else:
             self._confirmed_check = self._sent_check
-            self._heartbeat_at = now + HEARTBEAT_FRACTION * self.ttl_ms
+            self._next_heartbeat_at = now + HEARTBEAT_FRACTION * self.ttl_ms
 
     def _set_maintenance(self, enabled: bool) -> None:
         if enabled == self.maintenance:
             return
         self.maintenance = enabled
         self._actions.append(MaintenanceChanged(enabled))
-        change = "set by the operator; taking no new work" if enabled else "lifted"
+        change = "set by the operator, accepting no new requests" if enabled else "lifted"
         self._log("info", f"maintenance mode {change}")
 
     def _log(self, level: str, text: str) -> None:
@@ -284,9 +288,9 @@
     # The next request
 
     def _request_next(self, now: float) -> None:
-        if now < self._not_before or self.verdict is None:
+        if now < self._backoff_ends_at or self.verdict is None:
             return
-        read_due = now >= self._read_at
+        read_due = now >= self._next_read_at
         if self._shutting_down:
             self._request_removal(now)
         elif self._conflict:
@@ -297,7 +301,7 @@
         elif not self._registered or self._weight_update_due(now, self.verdict):
             self._sent_weights = self.verdict.weights
             self._request(Operation.REGISTER, *self._check(self.verdict), self.verdict.weights)
-        elif self._check(self.verdict) != self._confirmed_check or now >= self._heartbeat_at:
+        elif self._check(self.verdict) != self._confirmed_check or now >= self._next_heartbeat_at:
             self._sent_check = self._check(self.verdict)
             self._request(Operation.UPDATE, *self._sent_check)
 
@@ -306,7 +310,7 @@
         never_registered = self._sent_weights == NO_WEIGHTS
         if self._conflict or never_registered or confirmed_gone:
             self.state = RegistrationState.DEREGISTERED
-            self._log("info", "out of the catalogue")
+            self._log("info", "this node is not registered")
         elif self._deregistered and self._registered is None:
             self._request(Operation.READ)
         else:
@@ -318,9 +322,10 @@
         return self._weight_changed(verdict) and now >= earliest
 
     def _weight_changed(self, verdict: HealthVerdict) -> bool:
-        """Tell whether the weights must be registered again.
+        """Return whether the weights must be registered again.
 
-        While critical, the passing weight alone counts: readers that find most of a list critical use it.
+        While the check is critical, only the passing weight matters: readers use it when most instances of
+        the list are critical.
         """
         if verdict.status == CRITICAL:
             return verdict.weights[0] != self._confirmed_weights[0]
@@ -328,7 +333,7 @@
 
     @staticmethod
     def _check(verdict: HealthVerdict) -> tuple[str, str]:
-        """Return status and output of the agent's check."""
+        """Return the status and output of the check for a verdict."""
         return verdict.status, f"{verdict.state.value}: {verdict.reason}"
 
     def _request(
@@ -346,7 +351,7 @@
         return self._shutting_down and self.pending_operation is Operation.REGISTER
 
     def _present_state(self) -> RegistrationState:
-        """Return the state that follows from what is known now."""
+        """Return the state that follows from the current knowledge of the agent and the node."""
         if self.state is RegistrationState.DEREGISTERED:
             return self.state
         if self._shutting_down:
@@ -354,7 +359,7 @@
         if self._conflict:
             return RegistrationState.CONFLICT
         if self._registered and self.verdict:
-            return STATE_OF_HEALTH[self.verdict.state]
+            return STATE_BY_HEALTH[self.verdict.state]
         if self._has_read or self.pending_operation is Operation.REGISTER:
             return RegistrationState.REGISTERING
         return RegistrationState.UNREGISTERED
@@ -363,10 +368,10 @@
         if self.pending_operation is not None:
             return self._registration_deadline if self._awaits_registration() else now + self.ttl_ms
         if self._shutting_down:
-            return max(now, self._not_before)
-        due = [self._read_at if self._has_read else now]
+            return max(now, self._backoff_ends_at)
+        due = [self._next_read_at if self._has_read else now]
         if self._registered:
-            due.append(self._heartbeat_at)
+            due.append(self._next_heartbeat_at)
             if self.verdict and self._weight_changed(self.verdict):
                 due.append(self._weights_confirmed_at + WEIGHT_UPDATE_INTERVAL_MS)
-        return max(now, self._not_before, min(due))
+        return max(now, self._backoff_ends_at, min(due))
--- a/spindlerelay/consul/registration_events.py
+++ b/spindlerelay/consul/registration_events.py
@@ -1,4 +1,4 @@
-"""Values between the registration's state machine and its I/O adapter: events in, actions out. Pure."""
+"""Events and actions of the registration's state machine, as immutable values."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Operation(Enum):
-    """An operation of the agent's API. The values appear in log lines."""
+    """Operations of the agent's API. The values appear in log lines."""
 
     READ = "look"
     REGISTER = "register"
@@ -20,22 +20,22 @@
 
 
 class Result(Enum):
-    """How a request to the agent ended. The values appear in log lines."""
+    """Outcomes of a request to the agent. The values appear in log lines."""
 
     OK = "ok"
-    ABSENT = "absent"  # 404, or the agent says that it does not know the service
-    DENIED = "denied"  # 401 or 403
+    ABSENT = "absent"  # status 404, or a response that the agent does not know the service
+    DENIED = "denied"  # status 401 or 403
     BUSY = "busy"
     ERROR = "error"  # any other status
-    GARBLED = "garbled"  # no HTTP, or not of the documented shape
+    MALFORMED = "garbled"  # invalid HTTP, or a response without the documented structure
     REFUSED = "refused"
     TIMEOUT = "timeout"
-    BROKEN = "broken"  # the connection ended within the response
+    BROKEN = "broken"  # the connection ended before the end of the response
     TOO_LARGE = "too_large"
 
 
 class RegisteredService(NamedTuple):
-    """The service as the agent has it: whose instance it is, its address, status and maintenance mode."""
+    """The service as it is registered with the agent."""
 
     instance_id: str
     address: str
@@ -47,13 +47,18 @@
 
 
 class HealthChanged(NamedTuple):
-    """The node's health policy has a new verdict."""
+    """The health policy of the node has produced a new verdict."""
 
     verdict: HealthVerdict
 
 
 class RequestCompleted(NamedTuple):
-    """The pending request has ended; ``service`` is what a read has found."""
+    """The pending request has ended.
+
+    Attributes:
+        detail: description of a failure, for the log.
+        service: the service that a read has found; None if there is none, or for other operations.
+    """
 
     operation: Operation
     result: Result
@@ -62,11 +67,11 @@
 
 
 class ShutdownStarted(NamedTuple):
-    """The node is draining: the service is to be deregistered."""
+    """The node has started its drain, so the service must be deregistered."""
 
 
 class TokenReloaded(NamedTuple):
-    """The ACL token was read again: a denial may be over."""
+    """The ACL token was read again, so a request that was denied may now succeed."""
 
 
 Event = HealthChanged | RequestCompleted | ShutdownStarted | TokenReloaded
@@ -76,7 +81,13 @@
 
 
 class AgentRequest(NamedTuple):
-    """Send a request to the agent. ``weights`` are those while passing and while not."""
+    """Send a request to the agent.
+
+    Attributes:
+        status: status of the check, for an update.
+        output: output of the check, for an update.
+        weights: weight while the check is passing, and weight while the check is not passing.
+    """
 
     operation: Operation
     timeout_ms: float
@@ -86,24 +97,24 @@
 
 
 class CancelRequest(NamedTuple):
-    """Give up the pending request; the agent may have carried it out."""
+    """Cancel the pending request, which the agent may nevertheless have executed."""
 
 
 class ScheduleStep(NamedTuple):
-    """Step again at this time, if nothing comes before."""
+    """Step again at this time, unless an event causes an earlier step."""
 
     at_ms: float
 
 
 class LogMessage(NamedTuple):
-    """One line for the people on call."""
+    """Log one line for the operator."""
 
     level: str
     text: str
 
 
 class MaintenanceChanged(NamedTuple):
-    """The operator has put the service in maintenance mode, or has lifted it."""
+    """Turn the node's maintenance mode on or off, as the operator has set it at the agent."""
 
     enabled: bool
 
--- a/spindlerelay/testbed/cluster/balancers.py
+++ b/spindlerelay/testbed/cluster/balancers.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.routing.load_balancer import CallerPosition
 from spindlerelay.testbed.cluster.attempts import Attempt
 from spindlerelay.testbed.cluster.run_context import RunContext
--- a/spindlerelay/testbed/cluster/cluster.py
+++ b/spindlerelay/testbed/cluster/cluster.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.consul.endpoint_watcher import Watcher
 from spindlerelay.testbed.cluster.attempts import Attempt
 from spindlerelay.testbed.cluster.balancers import BalancerPool
--- a/spindlerelay/testbed/cluster/shard.py
+++ b/spindlerelay/testbed/cluster/shard.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.testbed.cluster import membership_views
 from spindlerelay.testbed.cluster.attempts import Attempt
 from spindlerelay.testbed.cluster.balancers import BalancerPool
--- a/spindlerelay/testbed/load_generation/sender.py
+++ b/spindlerelay/testbed/load_generation/sender.py
@@ -13,7 +13,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.testbed.load_generation.outcomes import Outcome
 from spindlerelay.testbed.models import traffic
 from spindlerelay.testbed.models.balancer import Balancer, BalancerProfile, index_by_weight
--- a/spindlerelay/testbed/models/balancer.py
+++ b/spindlerelay/testbed/models/balancer.py
@@ -9,7 +9,7 @@
 import random
 from typing import NamedTuple
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.errors import SpindlerelayError
 from spindlerelay.routing.load_balancer import CallerPosition, LoadBalancer, weights_by_health
 from spindlerelay.routing.weighted_round_robin import WeightedRoundRobin, draw_by_weight
--- a/spindlerelay/testbed/models/retry_path.py
+++ b/spindlerelay/testbed/models/retry_path.py
@@ -8,7 +8,7 @@
 
 from typing import NamedTuple
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.testbed.models.balancer import Balancer
 
 MIN_REMAINING_MS = 150.0  # of a request's time, for another attempt
--- a/tests/test_backend_disconnects.py
+++ b/tests/test_backend_disconnects.py
@@ -83,8 +83,8 @@
 def test_a_roster_that_goes_quiet_without_a_close_is_asked_again_and_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(endpoint_watcher, "WAIT_MS", 100.0)
-    monkeypatch.setattr(endpoint_watcher, "SPARE_MS", 20.0)
+    monkeypatch.setattr(endpoint_watcher, "QUERY_WAIT_MS", 100.0)
+    monkeypatch.setattr(endpoint_watcher, "QUERY_TIMEOUT_MARGIN_MS", 20.0)
     loop, server, heard = EventLoop(), listener(), list[Any]()
     watcher = endpoint_watcher.Watcher(loop, server.getsockname(), "render", heard.append)
     body = b'[{"Node": {}, "Service": {"ID": "n1", "Address": "10.0.0.1", "Port": 1}, "Checks": []}]'
--- a/tests/test_consul_agent_client.py
+++ b/tests/test_consul_agent_client.py
@@ -161,7 +161,7 @@
 def test_watcher_reports_changes_and_keeps_endpoints_through_an_outage() -> None:
     site = Site()
     fake, _ = site.node()
-    heard: list[tuple[api_codec.Node, ...]] = []
+    heard: list[tuple[api_codec.ServiceInstance, ...]] = []
     watcher = endpoint_watcher.Watcher(site.loop, site.server.address, "render", heard.append)
     site.until(lambda: bool(heard) and heard[-1][0].status == "passing" if heard and heard[-1] else False)
     fake.told = NodeStatus(started=True, self_ejected=True)
--- a/tests/test_consul_api_codec.py
+++ b/tests/test_consul_api_codec.py
@@ -118,8 +118,8 @@
     assert (told and [(n.id, n.status, n.weight) for n in told[1]]) == nodes
 
 
-def instance(name: str, status: str = "passing", weight: int = 100) -> api_codec.Node:
-    return api_codec.Node(name, ("127.0.0.1", 1), status, weight)
+def instance(name: str, status: str = "passing", weight: int = 100) -> api_codec.ServiceInstance:
+    return api_codec.ServiceInstance(name, ("127.0.0.1", 1), status, weight)
 
 
 def test_lower_index_restarts_from_zero_and_retains_missing_instances() -> None:
--- a/tests/test_retry_path.py
+++ b/tests/test_retry_path.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.testbed.models.balancer import BALANCER_PROFILES, Balancer, BalancerProfile
 from spindlerelay.testbed.models.retry_path import NextStep, Response, RetryPath, failure_reason
 
--- a/tests/test_testbed_models.py
+++ b/tests/test_testbed_models.py
@@ -9,7 +9,7 @@
 import msgpack
 import pytest
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.testbed.checker import RuleChecker
 from spindlerelay.testbed.cluster.cluster import Cluster
 from spindlerelay.testbed.cluster.spec import ClusterSpec, fleet
--- a/tests/test_weighted_round_robin.py
+++ b/tests/test_weighted_round_robin.py
@@ -5,7 +5,7 @@
 import random
 from collections import Counter
 
-from spindlerelay.consul.api_codec import Node as Instance
+from spindlerelay.consul.api_codec import ServiceInstance as Instance
 from spindlerelay.routing.load_balancer import CallerPosition
 from spindlerelay.routing.weighted_round_robin import WeightedRoundRobin
 from spindlerelay.testbed.models.balancer import BALANCER_PROFILES, Balancer
