--- a/spindlerelay/frontends/balancer_server.py
+++ b/spindlerelay/frontends/balancer_server.py
@@ -126,7 +126,7 @@
         for connection in self.connections:
             connection.go_away()
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether no request is open or half read, and all responses are sent."""
         return not self._open_requests and not any(
             connection.has_bytes_in_flight() for connection in self.connections
--- a/spindlerelay/node/action_executor.py
+++ b/spindlerelay/node/action_executor.py
@@ -1,7 +1,7 @@
 """Carries out the admission controller's actions, in order.
 
-Owns the last checks before a run: no second run of a keyed request, none past the drain's grace. Apart from
-these, it decides nothing.
+Owns the last checks before a run: no second run of a keyed request, and no run of a request received after
+the drain grace. It makes no other decisions.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 from spindlerelay.transport.internal_errors import ErrorPlace
 from spindlerelay.transport.timer_wheel import TICK_MS
 
-# By the protocol every time limit is longer by this on sockets, the idempotency window too.
+# The protocol extends every time limit, also the idempotency window, by this tolerance on sockets.
 SOCKET_TOLERANCE_MS = 50.0
 
 Action = TypeVar("Action", bound=api.Action)
 
 
 class ActionExecutor:
-    """One method for each kind of action."""
+    """Executes actions, with one method for each kind."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self._handlers[kind] = handler
 
     def execute(self, actions: Iterable[api.Action]) -> None:
-        """Carry out all actions; one that fails is logged and costs only itself."""
+        """Carry out all actions; an exception in one is logged and does not affect the others."""
         handlers = self._handlers
         for action in actions:
             try:
@@ -79,21 +79,22 @@
             return
         spec = context.settings.classes[request.incoming.class_index]
         received_at_ms = request.incoming.received_at_ms
-        # By the time of reading, too: a clock set ahead before the notice makes received_at_ms look older.
-        late = max(request.read_at_ms, received_at_ms) > self._shutdown.last_run_at_ms
-        if late or self._shutdown.closing:
-            self._block_run(request, "past the grace of the notice to leave")
+        # Checks the time of reading, too: if the node's clock was set ahead before the notice to stop,
+        # received_at_ms of a request that arrives after the notice may lie before the cutoff.
+        past_cutoff = max(request.read_at_ms, received_at_ms) > self._shutdown.run_cutoff_ms
+        if past_cutoff or self._shutdown.closing:
+            self._block_run(request, "request received after the drain grace")
             return
         if not context.duplicates.may_run(request):
-            self._block_run(request, "entry of a keyed request lost")
+            self._block_run(request, "idempotency key not reserved for this attempt, or already run")
             return
-        bound_until_ms = received_at_ms + spec.idempotency_window_ms + SOCKET_TOLERANCE_MS + TICK_MS
+        window_end_ms = received_at_ms + spec.idempotency_window_ms + SOCKET_TOLERANCE_MS + TICK_MS
         now_ms = context.loop.now()
-        if not context.duplicates.claim(request, now_ms, bound_until_ms):
-            # The other process may have run it: a rejection would say that it never ran.
-            self._block_run(request, "key claimed by another process of this node", Failure())
+        if not context.duplicates.claim(request, now_ms, window_end_ms):
+            # The other process may have run it, and a rejection would state that the request never ran.
+            self._block_run(request, "idempotency key claimed by another process of this node", Failure())
             return
-        context.duplicates.record_run(request, bound_until_ms)
+        context.duplicates.record_run(request, window_end_ms)
         request.state = RequestState.RUNNING
         request.started_at_ms = now_ms
         context.metrics.forwards += 1
@@ -115,13 +116,13 @@
             self._responder.give_up(request, self._rejection_response(request, action))
 
     def _rejection_response(self, request: RequestContext, action: api.Reject) -> FinalResponse:
-        """Return a rejection only for a request that has never run: it may be run elsewhere."""
+        """Return a rejection only if the request has never run, as it may then be sent to another node."""
         if request.running:
             return Failure()
         if isinstance(request.key, str) and (record := self._context.duplicates.table.find_run(request.key)):
             if record.result is not None:
                 return Success(record.result)
-            # In an earlier process: nobody is left who could tell what it came to.
+            # A negative id is that of a run in an earlier process, whose outcome is not known any more.
             return Failure("OutcomeUnknown") if record.run_id < 0 else Failure()
         if self._may_have_run(request):
             return Failure()
@@ -136,7 +137,9 @@
     def _cancel_run(self, action: api.CancelRun) -> None:
         context = self._context
         if context.settings.cancellation is api.CancellationMode.NONE:
-            context.loop.warnings.warn("not in the protocol", "a run cannot be halted")
+            context.loop.warnings.warn(
+                "run cannot be cancelled", "the settings allow no cancellation of runs"
+            )
         elif (request := context.requests.by_id.get(action.id)) and request.running:
             context.backends.interpreter.cancel_run(request.incoming.call_id)
 
@@ -154,13 +157,15 @@
         dependencies = context.backends.dependencies
         if dependencies is not None:
             if context.backends.weight_without_call(request) <= 0.0:
-                # The operator's table allows no response without this call.
-                context.loop.warnings.warn("run refused", "a partial answer that no table allows")
+                # The settings of the dependencies allow no response without this call.
+                context.loop.warnings.warn(
+                    "run refused", "the settings allow no partial response without this call"
+                )
                 self._responder.give_up(request, Failure())
                 return
             dependencies.call_skipped(request.incoming, request.call_body)
         call_number = request.call_number
-        context.backends.drop_call(request)
+        context.backends.cancel_call(request)
         context.backends.interpreter.skip_call(request.incoming.call_id, call_number)
 
     def _cache_result(self, action: api.CacheResult) -> None:
@@ -168,8 +173,8 @@
         request = context.requests.by_id.get(action.id)
         if request and request.key is not None:
             until_ms = context.loop.now() + action.ttl_ms
-            content = request.incoming.content_hash()
-            context.duplicates.table.reserve(request.id, request.key, until_ms, content)
+            content_hash = request.incoming.content_hash()
+            context.duplicates.table.reserve(request.id, request.key, until_ms, content_hash)
 
     def _evict_result(self, action: api.EvictResult) -> None:
         self._context.duplicates.table.evict(action.id)
--- a/spindlerelay/node/backend_links.py
+++ b/spindlerelay/node/backend_links.py
@@ -1,7 +1,7 @@
-"""The node's links to interpreter, store, dependencies and discovery service.
+"""The node's connections to interpreter, store, dependencies and announce service.
 
-Owns the clients and the choice between the one store and the operator's dependencies. It decides on no
-request.
+Owns the clients and the choice between the single store and configured dependencies. It makes no decisions
+about requests.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from spindlerelay.node.request import RequestContext
 from spindlerelay.transport.event_loop import EventLoop
 
-Notice = RunFinished | CallRequested | CommandRejected
-REQUIRED_CALL_WEIGHT = -1.0  # priority weight of a response without its call, where there is the one store
+RunNotice = RunFinished | CallRequested | CommandRejected
+REQUIRED_CALL_WEIGHT = -1.0  # not positive: a call to the single store must not be skipped
 
 
 class BackendAddresses(NamedTuple):
-    """Where the backends listen, as host and port."""
+    """Host and port of each backend."""
 
     interpreter: tuple[str, int]
     store: tuple[str, int]
@@ -36,7 +36,7 @@
 
 
 class BackendLinks:
-    """The clients of all backends. ``dependencies``, where set, takes all calls in place of the store."""
+    """The clients of all backends. If ``dependencies`` is set, all calls go there instead of to the store."""
 
     interpreter: InterpreterClient
     store: StoreClient
@@ -50,17 +50,26 @@
         loop: EventLoop,
         addresses: BackendAddresses,
         node_name: str,
-        on_notice: Callable[[Notice], None],
-        on_up: Callable[[InterpreterStarted], None],
+        on_notice: Callable[[RunNotice], None],
+        on_started: Callable[[InterpreterStarted], None],
         on_reply: Callable[[StoreReply], None],
     ) -> None:
-        """Open the links; the callbacks get the interpreter's notices, its starts, and replies to calls."""
-        self.interpreter = InterpreterClient(loop, addresses.interpreter, on_notice, on_up)
+        """Create the clients of all backends.
+
+        Args:
+            loop: event loop of the connections.
+            addresses: host and port of each backend.
+            node_name: name under which the announce service lists this node.
+            on_notice: called with each notice of the interpreter about a run.
+            on_started: called each time the interpreter reports that it has started.
+            on_reply: called with the result of each dependency call.
+        """
+        self.interpreter = InterpreterClient(loop, addresses.interpreter, on_notice, on_started)
         self.store = StoreClient(loop, addresses.store, on_reply)
         self.discovery = DiscoveryClient(loop, addresses.discovery, node_name)
 
     def set_addresses(self, addresses: BackendAddresses) -> None:
-        """Move the links whose address has changed; requests, runs and results stay as they are."""
+        """Reconnect the clients whose address has changed; requests, runs and results are not affected."""
         if addresses.interpreter != self.interpreter.address:
             self.interpreter.change_address(addresses.interpreter)
         if addresses.store != self.store.address:
@@ -68,27 +77,27 @@
         if addresses.discovery != self.discovery.address:
             self.discovery.change_address(addresses.discovery)
 
-    def call_dependency(self, context: RequestContext, timeout_ms: float) -> None:
-        """Make the call that the run waits for."""
+    def call_dependency(self, request: RequestContext, timeout_ms: float) -> None:
+        """Start the dependency call that the request's run waits for."""
         if self.dependencies is None:
-            self.store.call(context.incoming.call_id, timeout_ms, context.call_body)
+            self.store.call(request.incoming.call_id, timeout_ms, request.call_body)
         else:
-            self.dependencies.start_call(context.incoming, timeout_ms, context.call_body)
+            self.dependencies.start_call(request.incoming, timeout_ms, request.call_body)
 
-    def drop_call(self, context: RequestContext) -> None:
-        """Cancel the call that the run waits for."""
-        context.call_number = 0
+    def cancel_call(self, request: RequestContext) -> None:
+        """Cancel the dependency call that the request's run waits for."""
+        request.call_number = 0
         if self.dependencies is None:
-            self.store.cancel(context.incoming.call_id)
+            self.store.cancel(request.incoming.call_id)
         else:
-            self.dependencies.cancel(context.incoming.call_id)
+            self.dependencies.cancel(request.incoming.call_id)
 
-    def weight_without_call(self, context: RequestContext) -> float:
-        """Return the priority weight of a response without the call, 0 or less if it must not be skipped."""
+    def weight_without_call(self, request: RequestContext) -> float:
+        """Return the priority weight of a response without this call, 0 or less if it must not be skipped."""
         if self.dependencies is None:
             return REQUIRED_CALL_WEIGHT
-        return self.dependencies.weight_without_call(context.incoming, context.call_body)
+        return self.dependencies.weight_without_call(request.incoming, request.call_body)
 
     def dependency_down_ms(self) -> float:
-        """Return for how long no dependency has accepted connections."""
+        """Return for how many ms no dependency has accepted connections."""
         return (self.store if self.dependencies is None else self.dependencies).unavailable_ms()
--- a/spindlerelay/node/context.py
+++ b/spindlerelay/node/context.py
@@ -1,4 +1,4 @@
-"""The state that the parts of a node share. No behaviour: each part documents what it changes."""
+"""State shared by the components of a node. It has no behaviour; each component documents what it changes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class NodeContext:
-    """Shared by reference; ``node.Node`` makes it."""
+    """The state of one node. ``node.Node`` creates it and passes it by reference to its components."""
 
     loop: EventLoop
     settings: api.Settings
@@ -26,7 +26,8 @@
     backends: BackendLinks = field(default_factory=BackendLinks)
     metrics: NodeMetrics = field(default_factory=NodeMetrics)
     front_ends: list[FrontEnd] = field(default_factory=list)
-    pending_events: list[api.Event] = field(default_factory=list)  # for the next step; emptied in place
-    started: bool = False  # the interpreter has been reached since the start
+    # Events for the controller's next step. The list is cleared in place.
+    pending_events: list[api.Event] = field(default_factory=list)
+    started: bool = False  # whether the interpreter has been reached since the process started
     rejection_gate: RejectionGate | None = None
-    rejected_count: int = 0  # since the start, without those rejected while draining
+    rejected_count: int = 0  # rejections since the process started, not counting those while it drains
--- a/spindlerelay/node/deadline_guard.py
+++ b/spindlerelay/node/deadline_guard.py
@@ -1,6 +1,6 @@
-"""Every request gets its final response by its due time, whatever the admission controller does.
+"""Guarantees each request a final response by its deadline, whatever the admission controller does.
 
-Owns the deadline timers. It takes no part in any other decision.
+Owns the deadline timers and makes no other decisions.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 from spindlerelay.node.responder import Responder
 from spindlerelay.transport.timer_wheel import TICK_MS
 
-# A request that is read past its due time is seen by the controller first, and gets its Retry-After.
+# A request that is read after its deadline still goes through a step of the admission controller, so that its
+# rejection can carry a Retry-After.
 MIN_DECISION_TIME_MS = 2 * TICK_MS
 
 
 class DeadlineGuard:
-    """Responds with a failure to each request that is due without a response."""
+    """Responds with a failure to each request whose deadline passes without a response."""
 
     def __init__(self, context: NodeContext, responder: Responder) -> None:
         self._context = context
@@ -31,22 +32,22 @@
         )
 
     def respond_overdue(self, request: RequestContext) -> None:
-        """Fail a request that is due, and tell the admission controller that nobody waits for it."""
+        """Fail a request whose deadline has passed, and report its caller as disconnected."""
         if request.responded:
             return
         context = self._context
-        waiting = "following" if request.original_id else "held"
-        state = "running" if request.running else waiting
+        waiting_state = "coalesced" if request.original_id else "queued"
+        state = "running" if request.running else waiting_state
         since_read_ms = context.loop.now() - request.read_at_ms
         read_delay_ms = request.read_at_ms - request.incoming.received_at_ms
-        read = f"read {since_read_ms:.0f} ms ago, {read_delay_ms:.0f} ms after it came"
+        read_times = f"read {since_read_ms:.0f} ms ago, {read_delay_ms:.0f} ms after its arrival"
         context.loop.warnings.warn(
-            "answered for the module", f"call {request.incoming.call_id} was due, {state}, {read}"
+            "deadline passed without a response", f"call {request.incoming.call_id}, {state}, {read_times}"
         )
         self._responder.give_up(request, Failure("Late"))
         context.pending_events.append(api.CallerDisconnected(request.id))
 
     def respond_to_all(self) -> None:
-        """Fail every request that has no response: the process is about to be stopped."""
+        """Fail every request that has no response, because the process is about to be stopped."""
         for request in list(self._context.requests.by_id.values()):
             self.respond_overdue(request)
--- a/spindlerelay/node/duplicate_run_guard.py
+++ b/spindlerelay/node/duplicate_run_guard.py
@@ -1,7 +1,7 @@
-"""Prevents a second run of a keyed request: in this process, beside it, and in those before it.
+"""Prevents a second run of a keyed request, after a run in this process, a concurrent one or an earlier one.
 
-Owns the idempotency table, the claims shared with other processes of this node and the record on disk. It
-does not decide which request runs; it forbids the runs that would be duplicates.
+Owns the idempotency table, the claims shared with other processes of this node and the records on disk. It
+does not decide which request runs; it only forbids duplicate runs.
 """
 
 from __future__ import annotations
@@ -13,54 +13,54 @@
 
 
 class DuplicateRunGuard:
-    """What is known of keyed requests, wherever they ran."""
+    """Records of keyed requests that ran in any process of this node."""
 
     def __init__(self, memory_mb: float) -> None:
         self.table = IdempotencyTable(memory_mb)
-        self.claims: IdempotencyClaims | None = None  # shared with other processes during a handover
+        self.claims: IdempotencyClaims | None = None  # shared with the other process during a handover
         self.persistence: Persistence | None = None
 
-    def may_have_run(self, context: RequestContext, now_ms: float) -> bool:
+    def may_have_run(self, request: RequestContext, now_ms: float) -> bool:
         """Return whether a keyed request may have run, here or in another process of this node."""
-        if not isinstance(context.key, str):
+        if not isinstance(request.key, str):
             return False
-        if self.table.find_run(context.key):
+        if self.table.find_run(request.key):
             return True
-        return self.claims is not None and self.claims.is_claimed(context.key, now_ms)
+        return self.claims is not None and self.claims.is_claimed(request.key, now_ms)
 
-    def may_run(self, context: RequestContext) -> bool:
+    def may_run(self, request: RequestContext) -> bool:
         """Return whether the table allows this attempt to run."""
-        return not isinstance(context.key, str) or self.table.may_run(context.id, context.key)
+        return not isinstance(request.key, str) or self.table.may_run(request.id, request.key)
 
-    def claim(self, context: RequestContext, now_ms: float, bound_until_ms: float) -> bool:
-        """Claim a keyed request for this process; False where another one holds it."""
-        if self.claims is None or not isinstance(context.key, str):
+    def claim(self, request: RequestContext, now_ms: float, window_end_ms: float) -> bool:
+        """Claim a keyed request for this process; return False if another process holds the claim."""
+        if self.claims is None or not isinstance(request.key, str):
             return True
-        return self.claims.claim(context.key, now_ms, bound_until_ms)
+        return self.claims.claim(request.key, now_ms, window_end_ms)
 
-    def record_run(self, context: RequestContext, bound_until_ms: float) -> None:
-        """Note that this attempt runs now, and that no other may until ``bound_until_ms``."""
-        if not isinstance(context.key, str):
+    def record_run(self, request: RequestContext, window_end_ms: float) -> None:
+        """Record that this attempt runs now; no other attempt received until ``window_end_ms`` may run."""
+        if not isinstance(request.key, str):
             return
-        self.table.record_run(context.id, bound_until_ms)
+        self.table.record_run(request.id, window_end_ms)
         if self.persistence is not None:
-            self.persistence.record_run(context.key, context.incoming.content_hash(), bound_until_ms)
+            self.persistence.record_run(request.key, request.incoming.content_hash(), window_end_ms)
 
-    def revoke_run(self, context: RequestContext) -> None:
-        """Note that this attempt never started after all."""
-        self.table.revoke_run(context.id)
-        if self.persistence is not None and isinstance(context.key, str):
-            self.persistence.revoke_run(context.key)
+    def revoke_run(self, request: RequestContext) -> None:
+        """Record that this attempt, recorded as run, never started."""
+        self.table.revoke_run(request.id)
+        if self.persistence is not None and isinstance(request.key, str):
+            self.persistence.revoke_run(request.key)
 
-    def finish_run(self, context: RequestContext, result: bytes | None) -> list[int]:
-        """Note the end of a run, and return the ids of the attempts that share its result."""
-        coalesced_ids = self.table.finish(context.id, result) if context.key is not None else []
-        if self.persistence is not None and result is not None and isinstance(context.key, str):
-            self.persistence.record_result(context.key, result)
+    def finish_run(self, request: RequestContext, result: bytes | None) -> list[int]:
+        """Record the end of a run, and return the ids of the attempts that share its result."""
+        coalesced_ids = self.table.finish(request.id, result) if request.key is not None else []
+        if self.persistence is not None and result is not None and isinstance(request.key, str):
+            self.persistence.record_result(request.key, result)
         return coalesced_ids
 
     def expire(self, now_ms: float) -> None:
-        """Remove what binds nobody any more."""
+        """Remove expired records and claims."""
         self.table.expire(now_ms)
         if self.claims is not None:
             self.claims.remove_expired(now_ms)
--- a/spindlerelay/node/graceful_shutdown.py
+++ b/spindlerelay/node/graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: from the notice to stop until nothing is owed to any balancer.
+"""Graceful shutdown: from the notice to stop until every request has its final response.
 
-Owns the phases of a node's end; ``GracefulShutdown._advance`` is the one place that decides that nothing more
-is owed. It does not decide which queued requests still run.
+Owns the phases of the shutdown. ``GracefulShutdown._advance`` is the only place that decides that no balancer
+still waits for a response. This module does not decide which queued requests still run.
 """
 
 from __future__ import annotations
@@ -19,21 +19,23 @@
 from spindlerelay.transport.timer_wheel import TICK_MS
 
 ADVANCE_INTERVAL_MS = 2 * TICK_MS
-FINAL_RESPONSES_MS = 150.0  # before the stop: all requests are responded to, for the responses to be sent
-STOP_ACCEPTING_MS = 400.0  # before the stop, for what came in just before the listening socket closed
-EXIT_MS = 30.0  # before the stop: the exit itself
-PEER_CLOSE_TIMEOUT_MS = 200.0  # for balancers to close their sides: four times a goaway's crossing
-QUIET_PERIOD_MS = 200.0  # with nothing open, after which nothing is under way: four times a goaway's crossing
+# The margins are times before the stop of the process.
+FINAL_RESPONSE_MARGIN_MS = 150.0  # for sending responses: by then every request has one
+STOP_ACCEPTING_MARGIN_MS = 400.0  # for requests that arrive just before the listening socket closes
+EXIT_MARGIN_MS = 30.0  # for the exit of the process
+# Both times are four times GOAWAY_CROSSING_MS, for which a request may cross a goaway on the wire.
+PEER_CLOSE_TIMEOUT_MS = 200.0  # for balancers to close their sides of the connections
+IDLE_PERIOD_MS = 200.0  # no request is in flight once the node has been idle for this time
 
 
 class Phase(Enum):
-    """Phases of a node, in this order."""
+    """Phases of a node, in the order in which it passes through them."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # connections are accepted, and what they bring is owed a response
-    NOT_ACCEPTING = "not accepting"  # what comes on the open connections is owed a response
-    CLOSING = "closing"  # all is responded to: connections close, and what is read meanwhile is rejected
-    CLOSED = "closed"  # no byte is under way
+    DRAINING = "draining"  # new connections are accepted, and their requests get a response
+    NOT_ACCEPTING = "not accepting"  # only requests on open connections are read, and get a response
+    CLOSING = "closing"  # all responses are sent; connections close, and requests read now are rejected
+    CLOSED = "closed"  # every connection has closed on both sides
 
 
 NEXT_PHASE = {
@@ -42,15 +44,15 @@
     Phase.NOT_ACCEPTING: Phase.CLOSING,
     Phase.CLOSING: Phase.CLOSED,
 }
-# A phase in this table ends when the node is quiet, but no later than so long before the stop.
-LATEST_END_MS = {
-    Phase.DRAINING: STOP_ACCEPTING_MS,
-    Phase.NOT_ACCEPTING: FINAL_RESPONSES_MS / 2,
+# These phases end when the node has become idle, but no later than this time before the stop.
+PHASE_END_MARGIN_MS = {
+    Phase.DRAINING: STOP_ACCEPTING_MARGIN_MS,
+    Phase.NOT_ACCEPTING: FINAL_RESPONSE_MARGIN_MS / 2,
 }
 
 
 class GracefulShutdown:
-    """The state machine of a node's end."""
+    """The state machine of a node's shutdown."""
 
     def __init__(
         self, context: NodeContext, health: HealthMonitor, responder: Responder, deadlines: DeadlineGuard
@@ -61,18 +63,18 @@
         self._deadlines = deadlines
         self.phase = Phase.SERVING
         self.stop_at_ms = float("inf")
-        self.last_run_at_ms = float("inf")  # requests read or received after that must not run
+        self.run_cutoff_ms = float("inf")  # requests that were read or arrived after this time must not run
         self._handover = False
-        self._quiet_since_ms = 0.0
+        self._idle_since_ms = 0.0
         self._closing_since_ms = 0.0
 
     @property
     def closing(self) -> bool:
-        """Whether connections close: nothing may be run any more."""
+        """Whether connections are being closed, so that no run may start any more."""
         return self.phase is Phase.CLOSING or self.phase is Phase.CLOSED
 
     def start(self, remaining_ms: float, handover: bool) -> None:
-        """Carry out the notice to stop within ``remaining_ms``; a second notice changes nothing."""
+        """Drain and stop within ``remaining_ms``; a second notice to stop has no effect."""
         if self.phase is not Phase.SERVING:
             return
         context = self._context
@@ -80,48 +82,52 @@
         suffix = ", handing over" if handover else ""
         logger.info("draining: notice to stop received{}, stop in {:.0f} ms", suffix, remaining_ms)
         self.stop_at_ms = now_ms + remaining_ms
-        self.last_run_at_ms = now_ms + context.settings.drain_grace_ms
-        context.pending_events.append(api.DrainStarted(max(0.0, remaining_ms - FINAL_RESPONSES_MS)))
+        self.run_cutoff_ms = now_ms + context.settings.drain_grace_ms
+        context.pending_events.append(api.DrainStarted(max(0.0, remaining_ms - FINAL_RESPONSE_MARGIN_MS)))
         if handover:
             context.backends.discovery.stop()
         self.phase = NEXT_PHASE[self.phase]
         self._handover = handover
-        self._quiet_since_ms = now_ms
+        self._idle_since_ms = now_ms
         self._health.start_draining()
         for front_end in context.front_ends:
             front_end.start_draining()
         if handover:
             self._enter_next_phase(now_ms)
-        context.loop.timers.schedule(self.stop_at_ms - FINAL_RESPONSES_MS, self._deadlines.respond_to_all)
+        context.loop.timers.schedule(
+            self.stop_at_ms - FINAL_RESPONSE_MARGIN_MS, self._deadlines.respond_to_all
+        )
         self._advance()
 
     def _advance(self) -> None:
-        """Decide whether nothing more is owed, phase by phase.
+        """Enter the next phase once the current one is complete.
 
-        Connections are accepted until nothing is open and nothing more may be run, or until the last moment.
-        The process ends when what came in until then is responded to, too, and the connections have closed on
-        both sides. To end at once would reset a connection whose request was just written, and lose it.
+        Connections are accepted until no request is open and none may be run any more, or until the latest
+        end of the phase. The process ends when the requests that arrived until then have their responses,
+        too, and the connections have closed on both sides. Ending at once would reset a connection on which a
+        request was just written, and lose the request.
         """
         context = self._context
         now_ms = context.loop.now()
-        if context.requests.outstanding() or not all(each.is_quiet() for each in context.front_ends):
-            self._quiet_since_ms = now_ms
-        # In a handover nothing new comes once the listening socket is closed: what is responded to may close.
-        quiet = (now_ms > self.last_run_at_ms or self._handover) and (
-            now_ms - self._quiet_since_ms > QUIET_PERIOD_MS
+        if context.requests.outstanding() or not all(front_end.is_idle() for front_end in context.front_ends):
+            self._idle_since_ms = now_ms
+        # In a handover the listening socket is closed at once and no new connection comes, so an idle node
+        # may leave the phase before the run cutoff.
+        may_leave_phase = (now_ms > self.run_cutoff_ms or self._handover) and (
+            now_ms - self._idle_since_ms > IDLE_PERIOD_MS
         )
-        latest_end_ms = LATEST_END_MS.get(self.phase)
-        if latest_end_ms is not None and (quiet or now_ms >= self.stop_at_ms - latest_end_ms):
+        end_margin_ms = PHASE_END_MARGIN_MS.get(self.phase)
+        if end_margin_ms is not None and (may_leave_phase or now_ms >= self.stop_at_ms - end_margin_ms):
             self._enter_next_phase(now_ms)
         if self.phase is Phase.CLOSING:
-            self._close(now_ms)
+            self._close_connections(now_ms)
         if self.phase is not Phase.CLOSED:
             context.loop.call_later(ADVANCE_INTERVAL_MS, self._advance)
 
     def _enter_next_phase(self, now_ms: float) -> None:
         self.phase = NEXT_PHASE[self.phase]
         if self.phase is Phase.NOT_ACCEPTING:
-            self._quiet_since_ms = self._context.loop.now()
+            self._idle_since_ms = self._context.loop.now()
             for front_end in self._context.front_ends:
                 front_end.stop_accepting()
         elif self.phase is Phase.CLOSING:
@@ -130,28 +136,33 @@
             self._context.loop.running = False
             logger.info("drained: all requests have their responses")
 
-    def _close(self, now_ms: float) -> None:
-        """Close the connections; what a last read of them brings is responded to first."""
-        last = now_ms >= min(self.stop_at_ms - EXIT_MS, self._closing_since_ms + PEER_CLOSE_TIMEOUT_MS)
+    def _close_connections(self, now_ms: float) -> None:
+        """Close the connections, after rejecting the requests that a last read of them returned."""
+        is_final_close = now_ms >= min(
+            self.stop_at_ms - EXIT_MARGIN_MS, self._closing_since_ms + PEER_CLOSE_TIMEOUT_MS
+        )
         front_ends = self._context.front_ends
         self._reject_all()
         for front_end in front_ends:
             front_end.close_connections()
-        if last:
+        if is_final_close:
             self._reject_all()
             for front_end in front_ends:
                 front_end.close_connections(skip_last_read=True)
-        if last or all(front_end.is_closed() for front_end in front_ends):
+        if is_final_close or all(front_end.is_closed() for front_end in front_ends):
             self._enter_next_phase(now_ms)
 
     def _reject_all(self) -> None:
-        """Respond to what was read as the connections close: it never runs here, and may run elsewhere."""
+        """Respond to requests read while the connections close.
+
+        They never run here. A request that has not run before is rejected, so it may run on another node.
+        """
         context = self._context
         for request in context.requests.without_response():
-            started = (
+            may_have_started = (
                 request.running
                 or request.original_id
                 or context.duplicates.may_have_run(request, context.loop.now())
             )
-            self._responder.give_up(request, Failure() if started else Rejection())
+            self._responder.give_up(request, Failure() if may_have_started else Rejection())
             context.pending_events.append(api.CallerDisconnected(request.id))
--- a/spindlerelay/node/metrics.py
+++ b/spindlerelay/node/metrics.py
@@ -1,7 +1,7 @@
 """Counters that a node publishes at its management address, as StatsD lines.
 
-Counts begin with the process (``lb.results.preview.succeeded:812|c``, ``lb.outstanding:14|g``). Pure: the
-node counts, the management server sends; neither the clock nor a socket is known here.
+Examples are ``lb.results.preview.succeeded:812|c`` and ``lb.outstanding:14|g``. Counters start at 0 with the
+process. Pure: the node counts and the management server sends; this module uses no clock and no socket.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from spindlerelay.transport.internal_errors import ErrorPlace
 
-RESERVED = re.compile(r"[\s:|@#]")  # in a StatsD name
+STATSD_RESERVED_CHARACTER = re.compile(r"[\s:|@#]")  # not allowed in a StatsD name
 
 
 class ResponseKind(IntEnum):
-    """Kinds of final responses: the index of each one's counter."""
+    """Kinds of final responses. The value is the index of the counter in ``NodeMetrics.results``."""
 
     SUCCEEDED = 0
     REJECTED = 1
@@ -25,15 +25,24 @@
 
 
 INTERNAL_ERRORS_NAME = "spindlerelay_internal_errors_total"
-PUBLISHED_NAMES = ("succeeded", "declined", "aborted")  # of the kinds, in their order
+RESPONSE_KIND_METRIC_NAMES = ("succeeded", "declined", "aborted")  # indexed by ResponseKind
 
 
 @dataclass(slots=True)
 class NodeMetrics:
-    """Counts by class name; a class dropped at SIGHUP keeps its lines, as counters never decrease."""
+    """The counters of a node.
+
+    A class that SIGHUP removes from the settings keeps its counters, as StatsD counters must never decrease.
+
+    Attributes:
+        results: final responses by class name and ``ResponseKind``.
+        forwards: runs handed to the interpreter.
+        sighup_applied: reloads of the settings that were applied.
+        sighup_rejected: reloads of the settings that were rejected.
+    """
 
     results: dict[str, list[int]] = field(default_factory=dict)
-    forwards: int = 0  # runs handed to the interpreter
+    forwards: int = 0
     sighup_applied: int = 0
     sighup_rejected: int = 0
 
@@ -41,19 +50,20 @@
         """Count one final response; ``kind`` is a ``ResponseKind``."""
         counts = self.results.get(class_name)
         if counts is None:
-            counts = self.results[class_name] = [0] * len(PUBLISHED_NAMES)
+            counts = self.results[class_name] = [0] * len(RESPONSE_KIND_METRIC_NAMES)
         counts[kind] += 1
 
     def lines(self, outstanding: int, internal_errors: Mapping[ErrorPlace, int] | None = None) -> bytes:
-        """Return all lines.
+        """Return all counters as StatsD lines.
 
-        ``outstanding`` is the number of requests without a response. ``internal_errors`` are counts by place;
-        a place without an error has no line.
+        Args:
+            outstanding: number of requests without a final response.
+            internal_errors: counts by place; a place that is not in the mapping gets no line.
         """
         rendered = [
-            f"lb.results.{RESERVED.sub('_', class_name)}.{name}:{count}|c"
+            f"lb.results.{STATSD_RESERVED_CHARACTER.sub('_', class_name)}.{name}:{count}|c"
             for class_name, counts in self.results.items()
-            for name, count in zip(PUBLISHED_NAMES, counts, strict=True)
+            for name, count in zip(RESPONSE_KIND_METRIC_NAMES, counts, strict=True)
         ]
         rendered += [
             f"lb.forwards:{self.forwards}|c",
--- a/spindlerelay/node/node.py
+++ b/spindlerelay/node/node.py
@@ -1,8 +1,9 @@
-"""The node: wiring of its parts, and its public surface.
+"""The node: wiring of its components, and its public interface.
 
-It gives the admission controller what has happened, and carries out what that decides. It knows no protocol
-of balancers. Whatever the controller or a backend does, it guarantees one final response for each request, in
-time and once; no second run of a keyed request; no run past the drain's grace.
+The node passes events to the admission controller and carries out the actions that it returns. It knows no
+protocol of balancers. Whatever the controller or a backend does, the node guarantees that each request gets
+exactly one final response by its deadline, that a keyed request does not run twice, and that no request
+received after the drain grace runs.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from spindlerelay import api
 from spindlerelay.backends.interpreter_protocol import InterpreterStarted
 from spindlerelay.node.action_executor import ActionExecutor
-from spindlerelay.node.backend_links import BackendAddresses, Notice
+from spindlerelay.node.backend_links import BackendAddresses, RunNotice
 from spindlerelay.node.context import NodeContext
 from spindlerelay.node.controller_timers import ControllerTimers
 from spindlerelay.node.deadline_guard import DeadlineGuard
@@ -32,12 +33,12 @@
 from spindlerelay.transport.event_loop import EventLoop
 from spindlerelay.transport.internal_errors import ErrorPlace
 
-WATCHDOG_INTERVAL_MS = 250.0  # a controller without a timer gets a step all the same
-EXPIRY_INTERVAL_MS = 1000.0  # between looks at the idempotency table
+WATCHDOG_INTERVAL_MS = 250.0  # interval of steps for a controller that has set no timer
+EXPIRY_INTERVAL_MS = 1000.0  # interval of the removal of expired idempotency records
 
 
 class Node:
-    """Between the front ends, the admission controller and the backends."""
+    """Connects front ends, admission controller and backends."""
 
     def __init__(
         self, loop: EventLoop, settings: api.Settings, admission: AdmissionPolicy, memory_mb: float = 192.0
@@ -48,7 +49,7 @@
         self.context = context
         self.health = HealthMonitor(context)
         self.intake = RequestIntake(context, responder, deadlines)
-        self.runs = RunTracker(context, responder)
+        self.run_tracker = RunTracker(context, responder)
         self.shutdown = GracefulShutdown(context, self.health, responder, deadlines)
         self._timers = ControllerTimers(context)
         self._executor = ActionExecutor(context, responder, self.health, self._timers, self.shutdown)
@@ -60,7 +61,7 @@
 
     @property
     def settings(self) -> api.Settings:
-        """The current settings; open requests keep the indices of their classes in them."""
+        """The current settings. A reload keeps the index of each class, as open requests refer to it."""
         return self.context.settings
 
     @property
@@ -70,12 +71,12 @@
 
     @property
     def idempotency(self) -> IdempotencyTable:
-        """What is known of requests that may be sent again."""
+        """The table of requests that balancers may send again."""
         return self.context.duplicates.table
 
     @property
     def persistence(self) -> Persistence | None:
-        """What outlives the process, None where nothing does."""
+        """Storage of keyed runs on disk, None if they are not stored."""
         return self.context.duplicates.persistence
 
     @persistence.setter
@@ -84,12 +85,12 @@
 
     @property
     def published_load(self) -> float | None:
-        """The load that responses tell, None for none."""
+        """Load to publish in responses, None to publish none."""
         return self.health.published_load
 
     @property
     def healthy(self) -> bool:
-        """What health checks tell."""
+        """Whether health checks report this node as healthy."""
         return self.health.healthy
 
     def add_frontend(self, front_end: FrontEnd) -> None:
@@ -97,7 +98,7 @@
         self.context.front_ends.append(front_end)
 
     def use_dependencies(self, dependencies: DependencyCalls) -> None:
-        """Send all dependency calls there instead of to the one store."""
+        """Send all dependency calls to ``dependencies`` instead of to the single store."""
         self.context.backends.dependencies = dependencies
 
     def set_claims(self, claims: IdempotencyClaims) -> None:
@@ -109,65 +110,66 @@
         self.context.rejection_gate = gate
 
     def observe_requests(self, observer: Callable[[IncomingRequest], None]) -> None:
-        """Call the observer with every request read."""
+        """Call ``observer`` with every request that is read."""
         self.intake.observer = observer
 
     def start(self, addresses: BackendAddresses, name: str) -> None:
-        """Open the links to the backends; requests run once the interpreter is up."""
+        """Connect to the backends under the node's ``name``; requests run once the interpreter is reached."""
         context = self.context
         context.backends.connect(
             context.loop,
             addresses,
             name,
             self.on_interpreter_notice,
-            self.on_interpreter_up,
-            self.runs.on_reply,
+            self.on_interpreter_started,
+            self.run_tracker.on_reply,
         )
         context.loop.call_later(WATCHDOG_INTERVAL_MS, self._watchdog)
         context.loop.call_later(EXPIRY_INTERVAL_MS, self._expire)
 
-    def on_interpreter_notice(self, notice: Notice) -> None:
-        """Handle what the interpreter reports of a run."""
-        self.runs.on_notice(notice)
+    def on_interpreter_notice(self, notice: RunNotice) -> None:
+        """Handle a notice of the interpreter about a run."""
+        self.run_tracker.on_notice(notice)
 
-    def on_interpreter_up(self, _banner: InterpreterStarted) -> None:
-        """Start the node's work with the interpreter's first start."""
+    def on_interpreter_started(self, _notice: InterpreterStarted) -> None:
+        """Start admission and discovery when the interpreter is reached for the first time."""
         if not self.context.started:
             self.context.started = True
             self._timers.fire_now()
             self.context.backends.discovery.start()
 
     def set_backend_addresses(self, addresses: BackendAddresses) -> None:
-        """Move the links whose address has changed."""
+        """Reconnect to the backends whose address has changed."""
         self.context.backends.set_addresses(addresses)
 
     def apply_settings(self, settings: api.Settings, controller_settings: api.Settings) -> None:
-        """Replace the settings, whose classes keep their indices (``settings_parser.retuned``).
+        """Replace the settings. Each class must keep its index (``settings_parser.with_updated_classes``).
 
-        The admission controller gets ``controller_settings``, which differ where a feature takes a part over.
+        The admission controller gets ``controller_settings``, which differ from ``settings`` where an
+        optional feature replaces a part of the controller.
         """
         self.context.settings = settings
         self.context.pending_events.append(api.SettingsChanged(controller_settings))
 
     def drain(self, remaining_ms: float, handover: bool = False) -> None:
-        """Carry out the notice to stop: end when all requests are responded to, within ``remaining_ms``.
+        """Stop when all requests have their responses, within ``remaining_ms``.
 
-        In a ``handover`` a newer process of the same name takes the shared listening socket: this one stops
-        accepting at once and reports no more to the endpoint list, which follows the reports of both, instead
-        of reporting that the node accepts no work.
+        In a ``handover`` a newer process of the same name takes over the shared listening socket. This
+        process stops accepting at once. It also stops its reports to the endpoint list, instead of reporting
+        that the node accepts no work: the list follows the reports of both processes.
         """
         self.shutdown.start(remaining_ms, handover)
 
     def admit(self, front_end: FrontEnd, request: IncomingRequest) -> None:
-        """Accept a request that has been read; ``front_end`` sends its final response."""
+        """Accept a request that has been read; ``front_end`` will send its final response."""
         self.intake.admit(front_end, request)
 
     def caller_disconnected(self, request: IncomingRequest, withdrawn: bool = False) -> None:
-        """Note that nobody waits for the response any more (``RequestIntake.caller_disconnected``)."""
+        """Handle the loss of a request's caller (``RequestIntake.caller_disconnected``)."""
         self.intake.caller_disconnected(request, withdrawn)
 
     def process_events(self) -> None:
-        """Give the controller all that a turn has brought in one step, then carry out its actions."""
+        """Pass all events of this turn to the controller in one step, then carry out its actions."""
         context = self.context
         if not context.pending_events or not context.started:
             return
@@ -177,17 +179,17 @@
         actions: list[api.Action] = []
         try:
             actions = context.admission.step(now_ms, events)
-        except Exception as error:  # a fault in one decision must not cost the other requests their responses
+        except Exception as error:  # one failed step must not cost other requests their responses
             context.loop.internal_errors.record(ErrorPlace.CONTROLLER)
             logger.opt(exception=True).error("the admission controller failed: {!r}", error)
         self._executor.execute(actions)
         duplicates = context.duplicates
         duplicates.table.end_batch()
-        if duplicates.persistence is not None:  # on disk before a command or a response of this turn is sent
+        if duplicates.persistence is not None:  # written before commands and responses of this turn are sent
             duplicates.persistence.commit()
 
     def ready(self) -> bool:
-        """Return whether this process serves: its interpreter is up, and it has no notice to stop."""
+        """Return whether this process serves: the interpreter was reached, and no notice to stop has come."""
         return self.context.started and self.shutdown.phase is Phase.SERVING
 
     def outstanding(self) -> int:
@@ -199,21 +201,21 @@
         return self.context.requests.running_call_ids()
 
     def set_maintenance(self, enabled: bool) -> None:
-        """Accept no new work while an operator's maintenance lasts."""
+        """Publish that this node accepts no new work during maintenance by an operator."""
         self.health.set_maintenance(enabled)
 
     def add_published_load(self, fraction: float) -> None:
-        """Publish so much more load than the controller does, as a fraction."""
+        """Publish more load than the controller reports, by this fraction."""
         self.health.add_load(fraction)
 
     def status(self) -> NodeStatus:
-        """Return what the node knows of itself."""
+        """Return the current status of the node."""
         return self.health.status()
 
     def _watchdog(self) -> None:
         self.context.loop.call_later(WATCHDOG_INTERVAL_MS, self._watchdog)
         self.health.check_interpreter()
-        self._timers.fire_without_timer()
+        self._timers.fire_if_no_timer_pending()
 
     def _expire(self) -> None:
         self.context.loop.call_later(EXPIRY_INTERVAL_MS, self._expire)
--- a/spindlerelay/node/request.py
+++ b/spindlerelay/node/request.py
@@ -1,4 +1,4 @@
-"""One accepted request, its states, and the table of all of them. No I/O, no decisions."""
+"""The state of one accepted request, and the table of all accepted requests. No I/O and no decisions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class RequestState(Enum):
-    """Whether the interpreter works on a request, and whether its final response has been sent."""
+    """States of a request: whether the interpreter runs it, and whether its final response has been sent."""
 
     WAITING = (False, False)  # queued, or coalesced with another attempt
     RUNNING = (True, False)
-    ABANDONED = (True, True)  # responded to while its run goes on
+    ABANDONED = (True, True)  # the response was sent before the run ended
     CLOSED = (False, True)
 
     def __init__(self, running: bool, responded: bool) -> None:
@@ -22,18 +22,18 @@
         self.responded = responded
 
 
-AFTER_RESPONSE = {
+STATE_AFTER_RESPONSE = {
     RequestState.WAITING: RequestState.CLOSED,
     RequestState.RUNNING: RequestState.ABANDONED,
 }
-AFTER_RUN = {
+STATE_AFTER_RUN = {
     RequestState.RUNNING: RequestState.WAITING,  # the result is sent in the same turn
     RequestState.ABANDONED: RequestState.CLOSED,
 }
 
 
 class RequestContext:
-    """One request from its reading until its response is sent and its run has ended."""
+    """A request from the time it is read until its response is sent and its run has ended."""
 
     __slots__ = (
         "id",
@@ -55,11 +55,13 @@
         self.front_end = front_end
         self.state = RequestState.WAITING
         self.deadline_timer: Timer | None = None
-        self.original_id = 0  # the attempt whose result this one waits for
-        self.key: Key | None = None  # a text is an idempotency key; a pair only lets reads share results
-        self.call_number = 0  # of the interpreter's notice that asked for a dependency call
+        self.original_id = 0  # id of the attempt whose result this attempt shares, 0 if this is the original
+        # A str is an idempotency key. A tuple only allows reads of one resource to share a result.
+        self.key: Key | None = None
+        # Sequence number of the interpreter's notice that requested a dependency call, 0 if no call is open.
+        self.call_number = 0
         self.call_body = b""
-        self.started_at_ms = 0.0  # of the run, or of its dependency call
+        self.started_at_ms = 0.0  # start time of the run, or of its dependency call
         self.read_at_ms = now_ms
 
     @property
@@ -69,12 +71,12 @@
 
     @property
     def running(self) -> bool:
-        """Whether the interpreter works on it."""
+        """Whether the interpreter is running the request."""
         return self.state.running
 
 
 class RequestTable:
-    """All requests without a response or with a run, by the node's id and by the balancer's call id."""
+    """All requests that have no response yet or a run in progress, by the node's id and by call id."""
 
     def __init__(self) -> None:
         self.by_id: dict[int, RequestContext] = {}
@@ -82,7 +84,7 @@
         self.last_id = 0
 
     def add(self, request: IncomingRequest, front_end: FrontEnd, now_ms: float) -> RequestContext:
-        """Enter a request under the next id and return its context."""
+        """Add a request under the next free id and return its context."""
         self.last_id += 1
         context = RequestContext(self.last_id, request, front_end, now_ms)
         self.by_id[context.id] = context
@@ -90,7 +92,7 @@
         return context
 
     def remove(self, context: RequestContext) -> None:
-        """Remove a request that owes nothing any more."""
+        """Remove a request whose response has been sent and whose run has ended."""
         self.by_id.pop(context.id, None)
         self.by_call_id.pop(context.incoming.call_id, None)
 
@@ -103,5 +105,5 @@
         return sum(not context.state.responded for context in self.by_id.values())
 
     def running_call_ids(self) -> list[str]:
-        """Return the call ids that the interpreter was given and whose end it has not reported."""
+        """Return the call ids of the runs whose end the interpreter has not reported."""
         return [context.incoming.call_id for context in self.by_id.values() if context.running]
--- a/spindlerelay/node/request_intake.py
+++ b/spindlerelay/node/request_intake.py
@@ -1,7 +1,7 @@
-"""Accepts requests from front ends, and handles those that nobody waits for any more.
+"""Accepts requests from front ends, and drops requests whose callers have left.
 
-Owns the check of repeated call ids and of reused idempotency keys. The admission controller decides what
-becomes of an accepted request.
+Owns the checks for repeated call ids and reused idempotency keys. The admission controller decides whether an
+accepted request runs.
 """
 
 from __future__ import annotations
@@ -16,32 +16,34 @@
 from spindlerelay.node.request import RequestContext
 from spindlerelay.node.responder import Responder
 
-MIN_REMAINING_MS = 0.001  # the controller takes only requests that are not yet due
+MIN_REMAINING_MS = 0.001  # the controller takes only requests whose deadline has not passed
 
 
 class RequestIntake:
-    """The way of requests into the node."""
+    """Entry point of requests into the node."""
 
     def __init__(self, context: NodeContext, responder: Responder, deadlines: DeadlineGuard) -> None:
         self._context = context
         self._responder = responder
         self._deadlines = deadlines
-        self.observer: Callable[[IncomingRequest], None] | None = None  # hears of every request read
+        # Called with every request that is read.
+        self.observer: Callable[[IncomingRequest], None] | None = None
 
     def admit(self, front_end: FrontEnd, request: IncomingRequest) -> None:
-        """Accept a request that has been read, or respond to one that repeats another wrongly."""
+        """Accept a request that has been read, or fail one that reuses the key or call id of another."""
         context = self._context
         now_ms = context.loop.now()
         if self.observer is not None:
             self.observer(request)
         if earlier := context.requests.by_call_id.get(request.call_id):
-            self._repeat_call(earlier, front_end, request)
+            self._handle_repeated_call(earlier, front_end, request)
             return
         spec = context.settings.classes[request.class_index]
         keyed = spec.idempotency is api.Idempotency.KEYED
         table = context.duplicates.table
         if keyed and not table.matches(request.idempotency_key, request.content_hash()):
-            # Not an attempt of that request: it must get no result of its, nor stand in its way.
+            # Its content differs, so it is not an attempt of the request that has this key: it must neither
+            # get the result of that request nor block its attempts.
             self._responder.send(front_end, request, Failure("BadRequest: another request has this key"))
             return
         accepted = context.requests.add(request, front_end, now_ms)
@@ -55,13 +57,19 @@
         accepted.original_id = original_id
         context.pending_events.append(_received_event(accepted, now_ms))
 
-    def _repeat_call(self, earlier: RequestContext, front_end: FrontEnd, request: IncomingRequest) -> None:
-        """Take over a request that was sent again since its connection closed: call ids are new otherwise."""
-        same = (
+    def _handle_repeated_call(
+        self, earlier: RequestContext, front_end: FrontEnd, request: IncomingRequest
+    ) -> None:
+        """Handle a call id that is already in the table.
+
+        A balancer uses a call id again only to resend a request whose connection has closed. The final
+        response of such a request moves to the new connection; any other repetition fails.
+        """
+        is_same_request = (
             earlier.incoming.content_hash() == request.content_hash()
             and earlier.incoming.received_at_ms == request.received_at_ms
         )
-        if earlier.responded or earlier.front_end.is_reachable(earlier.incoming) or not same:
+        if earlier.responded or earlier.front_end.is_reachable(earlier.incoming) or not is_same_request:
             self._responder.send(front_end, request, Failure("Duplicate: this call is being worked on"))
             return
         earlier.front_end.release(earlier.incoming)
@@ -69,7 +77,7 @@
         earlier.incoming = request
 
     def _cache_key(self, request: IncomingRequest, spec: api.ClassSettings) -> Key | None:
-        """Return the key by which reads share a result, None where they do not."""
+        """Return the key under which reads share a cached result, None if the request is not cacheable."""
         cacheable = (
             request.resource_key
             and self._context.settings.cache_ttl_ms > 0
@@ -78,11 +86,11 @@
         return (request.class_index, request.resource_key) if cacheable else None
 
     def caller_disconnected(self, request: IncomingRequest, withdrawn: bool) -> None:
-        """Give up a request that has not begun and that no other attempt waits for.
+        """Give up a request that no other attempt waits for, because its caller has left.
 
-        Where its connection has closed, a run goes on, and its result is cached for the next attempt. Where
-        the balancer has ``withdrawn`` it, the client has left: the controller may cancel the run, the
-        interpreter ends it at its next call, and the final response is sent at once.
+        If only its connection has closed, a run in progress continues, and its result is cached for the next
+        attempt. If the balancer has ``withdrawn`` the request, the client has left: the final response is
+        sent at once, the controller may cancel the run, and the interpreter ends it at its next call.
         """
         context = self._context
         accepted = context.requests.by_call_id.get(request.call_id)
--- a/spindlerelay/node/responder.py
+++ b/spindlerelay/node/responder.py
@@ -1,6 +1,6 @@
-"""Sends the one final response of each request, and ends the attempts that wait for a result.
+"""Sends the final response of each request, and responds to the attempts that wait for a result.
 
-Owns the rule that a request is responded to exactly once. It does not decide which response that is.
+Owns the rule that each request gets exactly one final response. It does not decide which response is sent.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from spindlerelay.node.context import NodeContext
 from spindlerelay.node.frontend import Failure, FinalResponse, FrontEnd, IncomingRequest, Rejection, Success
 from spindlerelay.node.metrics import ResponseKind
-from spindlerelay.node.request import AFTER_RESPONSE, RequestContext
+from spindlerelay.node.request import STATE_AFTER_RESPONSE, RequestContext
 
 
 class Responder:
-    """All final responses go through here, and are counted."""
+    """Sends and counts all final responses of a node."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
 
     def send(self, front_end: FrontEnd, request: IncomingRequest, response: FinalResponse) -> None:
-        """Count a response and hand it to the front end; also for a request that was not accepted."""
+        """Count a response and hand it to the front end. The request need not have been accepted."""
         if isinstance(response, Success):
             kind = ResponseKind.SUCCEEDED
         elif isinstance(response, Rejection):
@@ -37,10 +37,10 @@
         front_end.respond(request, response)
 
     def respond(self, request: RequestContext, response: FinalResponse) -> None:
-        """Send the final response, unless one was sent."""
+        """Send the final response, unless one has already been sent."""
         if request.state.responded:
             return
-        request.state = AFTER_RESPONSE[request.state]
+        request.state = STATE_AFTER_RESPONSE[request.state]
         if request.deadline_timer:
             request.deadline_timer.cancel()
         self.send(request.front_end, request.incoming, response)
@@ -48,14 +48,14 @@
             self._context.requests.remove(request)
 
     def give_up(self, request: RequestContext, response: FinalResponse) -> None:
-        """Send a response that no run made.
+        """Send a response without waiting for a run to end.
 
-        A queued request does not run any more, and those coalesced with it fail.
+        A queued request will not run any more, and the attempts coalesced with it fail.
         """
         context = self._context
         table = context.duplicates.table
         if request.call_number:
-            context.backends.drop_call(request)
+            context.backends.cancel_call(request)
         if request.original_id:
             table.detach(request.original_id, request.id)
         elif not request.running and request.key is not None:
@@ -63,13 +63,13 @@
         self.respond(request, response)
 
     def finish_coalesced(self, request_ids: list[int], result: bytes | None) -> None:
-        """Respond to the attempts that waited for this result; None is a failure."""
+        """Respond to the attempts that waited for this result; None means that the run failed."""
         for request_id in request_ids:
             if request := self._context.requests.by_id.get(request_id):
                 self.respond_with_result(request, result)
 
     def respond_with_result(self, request: RequestContext, result: bytes | None) -> None:
-        """Respond to a coalesced attempt, and report its end to the admission controller."""
+        """Respond to a coalesced attempt, and report its completion to the admission controller."""
         context = self._context
         outcome = api.Outcome.ERROR if result is None else api.Outcome.OK
         duration_ms = context.loop.now() - request.started_at_ms
--- a/spindlerelay/process/operator_features.py
+++ b/spindlerelay/process/operator_features.py
@@ -151,7 +151,7 @@
     service, config, path = context
     scheduler = (decider or CallScheduler)(options.routing_table(), config.settings, config.seed)
     pool = ConnectionPool(
-        service.loop, scheduler, config.settings, service.node.runs.on_reply, options.metrics.every
+        service.loop, scheduler, config.settings, service.node.run_tracker.on_reply, options.metrics.every
     )
     service.node.use_dependencies(pool)
     service.features.append(DependenciesFeature(pool, path, config.settings))
--- a/spindlerelay/storage/persistence.py
+++ b/spindlerelay/storage/persistence.py
@@ -48,7 +48,7 @@
     """A keyed request that has run."""
 
     content_hash: int
-    bound_until_ms: float
+    window_end_ms: float
     result: bytes | None
 
 
@@ -146,9 +146,9 @@
 
     # Recorder of the node
 
-    def record_run(self, key: str, content_hash: int, bound_until_ms: float) -> None:
+    def record_run(self, key: str, content_hash: int, window_end_ms: float) -> None:
         """Record that a run starts, and binds its key until a time in Unix ms."""
-        self._runs.append([key, content_hash, bound_until_ms])
+        self._runs.append([key, content_hash, window_end_ms])
 
     def record_result(self, key: str, result: bytes) -> None:
         """Record the result of a run."""
@@ -313,9 +313,9 @@
 
     def _completed_request(self, key: Hashable) -> CompletedRequest | None:
         run = self.run_table.find_run(key) if isinstance(key, str) else None  # other keys only share results
-        if run is None or run.bound_until_ms + GRACE_MS <= self.loop.now():
+        if run is None or run.window_end_ms + GRACE_MS <= self.loop.now():
             return None
-        return CompletedRequest(run.content_hash, run.bound_until_ms, run.result)
+        return CompletedRequest(run.content_hash, run.window_end_ms, run.result)
 
     # Learned state
 
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -54,7 +54,7 @@
         self.node = Node(self.loop, node_settings, self.controller)
         backends = self.node.context.backends
         backends.interpreter = backends.store = backends.discovery = self.backends  # type: ignore[assignment]
-        self.node.on_interpreter_up(InterpreterStarted("running", 0.0))
+        self.node.on_interpreter_started(InterpreterStarted("running", 0.0))
         self.balancer_server = BalancerServer(self.loop, ("127.0.0.1", 0), node_settings, sockets, self.node)
         self.node.add_frontend(self.balancer_server)
         self.address = f"127.0.0.1:{self.balancer_server.listener.sock.getsockname()[1]}"
@@ -107,7 +107,7 @@
         return made
 
     def finish_run(self, call: str, result: bytes) -> None:
-        self.node.runs.on_notice(RunFinished(1, call, "fine", 1.0, result))
+        self.node.run_tracker.on_notice(RunFinished(1, call, "fine", 1.0, result))
 
     def run_to_exit(self) -> None:
         """Let the node end as its process does: its sockets are closed."""
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -27,7 +27,7 @@
     """Tries of one key are not linked, and each may run."""
 
     def link(self: idempotency.IdempotencyTable, key: Any, request_id: int, *more: Any) -> int:
-        record = self._enter(key, request_id, 0)
+        record = self._add_record(key, request_id, 0)
         record.reserved_until_ms = 9e15
         return 0
 
--- a/tests/soak_faults.py
+++ b/tests/soak_faults.py
@@ -51,7 +51,7 @@
 
     def endless(self: GracefulShutdown, remaining_ms: float, handover: bool) -> None:
         start(self, remaining_ms, handover)
-        self.last_run_at_ms = float("inf")
+        self.run_cutoff_ms = float("inf")
 
     def without_drain(self: AdmissionController, event: Any) -> None:
         if not isinstance(event, DrainStarted):
--- a/tests/test_event_orders.py
+++ b/tests/test_event_orders.py
@@ -186,8 +186,10 @@
     @invariant()
     def indices_agree(self) -> None:
         table = self.table
-        assert all(table._by_holder.get(record.holder_id) is record for record in table._records.values())
-        assert set(map(id, table._by_holder.values())) == set(map(id, table._records.values()))
+        assert all(
+            table._by_original_id.get(record.original_id) is record for record in table._records.values()
+        )
+        assert set(map(id, table._by_original_id.values())) == set(map(id, table._records.values()))
         cached = sum(len(record.result or b"") for record in table._records.values())
         assert table.result_bytes == cached <= table.max_result_bytes
 
@@ -199,7 +201,7 @@
         for _ in range(4):
             self.now_ms += 60_000.0
             self.table.expire(self.now_ms)
-        assert not len(self.table) and not self.table._by_holder and not self.table.result_bytes
+        assert not len(self.table) and not self.table._by_original_id and not self.table.result_bytes
 
 
 class LeaseOrders(RuleBasedStateMachine):
@@ -364,7 +366,7 @@
         self.node = Node(self.loop, NODE_SETTINGS, AdmissionController(NODE_SETTINGS, 1))
         backends = self.node.context.backends
         backends.interpreter = backends.store = backends.discovery = RecordingBackend()  # type: ignore[assignment]
-        self.node.on_interpreter_up(InterpreterStarted("running", 0.0))
+        self.node.on_interpreter_started(InterpreterStarted("running", 0.0))
         self.loop.call_later(0.0, self.node._watchdog)
         self.loop.call_later(0.0, self.node._expire)
 
@@ -384,7 +386,7 @@
     def start_draining(self) -> None:
         pass
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         return False
 
     def stop_accepting(self) -> None:
@@ -430,7 +432,7 @@
 
     @rule(call=calls, outcome=st.sampled_from(list(api.Outcome)))
     def store_replied(self, call: str, outcome: api.Outcome) -> None:
-        self.node.runs.on_reply(StoreReply(call, outcome, b"row"))
+        self.node.run_tracker.on_reply(StoreReply(call, outcome, b"row"))
 
     @rule(which=st.integers(0, 40), withdrawn=st.booleans())
     def caller_disconnected(self, which: int, withdrawn: bool) -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -75,7 +75,7 @@
         )
         backends = self.node.context.backends
         backends.interpreter = backends.store = backends.discovery = self.backends  # type: ignore[assignment]
-        self.node.on_interpreter_up(InterpreterStarted("running", 0.0))
+        self.node.on_interpreter_started(InterpreterStarted("running", 0.0))
 
     def respond(self, ask: IncomingRequest, outcome: FinalResponse) -> None:
         self.responses.append((ask.call_id, outcome))
@@ -112,8 +112,8 @@
 ) -> None:
     rid = bench.admit(A)
     bench.execute(api.Run(rid), api.Run(rid), api.Fail(rid), api.Fail(rid), api.Reject(rid))
-    bench.node.runs.on_notice(RunFinished(1, A, "fine", 5.0, b"late"))
-    bench.node.runs.on_notice(RunFinished(2, A, "fine", 5.0, b"again"))
+    bench.node.run_tracker.on_notice(RunFinished(1, A, "fine", 5.0, b"late"))
+    bench.node.run_tracker.on_notice(RunFinished(2, A, "fine", 5.0, b"again"))
     assert bench.responses == [(A, Failure())]
     assert len(bench.calls_of("start_run")) == 1
 
@@ -132,7 +132,7 @@
     bench.execute(None)
     other = bench.admit(B)
     bench.execute("not an action", api.Run(other))
-    bench.node.runs.on_notice(RunFinished(1, B, "fine", 5.0, b"r"))
+    bench.node.run_tracker.on_notice(RunFinished(1, B, "fine", 5.0, b"r"))
     while len(bench.responses) < 2:
         bench.loop.run_once(bench.node.process_events)
     assert rid and sorted(bench.responses) == [(A, Failure("Late")), (B, Success(b"r"))]
@@ -152,7 +152,7 @@
 def test_a_request_that_has_run_is_not_turned_away_but_served_from_its_result(bench: NodeBench) -> None:
     first = bench.admit(A, 1)
     bench.execute(api.CacheResult(first, 9000.0), api.Run(first))
-    bench.node.runs.on_notice(RunFinished(1, A, "fine", 5.0, b"receipt"))
+    bench.node.run_tracker.on_notice(RunFinished(1, A, "fine", 5.0, b"receipt"))
     second = bench.admit(B, 1)
     bench.execute(api.Reject(second, 100.0))
     assert bench.responses == [(A, Success(b"receipt")), (B, Success(b"receipt"))]
@@ -196,13 +196,13 @@
 def test_a_call_is_made_resolved_and_given_up_with_its_request(bench: NodeBench) -> None:
     rid, other = bench.admit(A), bench.admit(B)
     bench.execute(api.Run(rid), api.Run(other))
-    bench.node.runs.on_notice(CallRequested(1, A, b"q"))
-    bench.node.runs.on_notice(CallRequested(2, B, b"q"))
+    bench.node.run_tracker.on_notice(CallRequested(1, A, b"q"))
+    bench.node.run_tracker.on_notice(CallRequested(2, B, b"q"))
     bench.execute(api.CallDependency(rid, 250.0), api.CallDependency(other, 250.0), api.Fail(other))
     assert bench.calls_of("call") == [("call", A, 250.0, b"q"), ("call", B, 250.0, b"q")]
     assert ("cancel", B) in bench.backends.calls
-    bench.node.runs.on_reply(StoreReply(A, api.Outcome.OK, b"r"))
-    bench.node.runs.on_reply(StoreReply(B, api.Outcome.OK, b"r"))
+    bench.node.run_tracker.on_reply(StoreReply(A, api.Outcome.OK, b"r"))
+    bench.node.run_tracker.on_reply(StoreReply(B, api.Outcome.OK, b"r"))
     assert bench.calls_of("deliver_call_response") == [("deliver_call_response", A, b"r")]
 
 
@@ -271,11 +271,11 @@
 def test_a_refused_command_ends_its_request(bench: NodeBench) -> None:
     rid = bench.admit(A)
     bench.execute(api.Run(rid))
-    bench.node.runs.on_notice(CommandRejected("APPLY", A))
+    bench.node.run_tracker.on_notice(CommandRejected("APPLY", A))
     assert bench.responses == [(A, Failure())]
     keyed = bench.admit(B, 1)
     bench.execute(api.CacheResult(keyed, 9000.0), api.Run(keyed))
-    bench.node.runs.on_notice(CommandRejected("APPLY", B))
+    bench.node.run_tracker.on_notice(CommandRejected("APPLY", B))
     later = bench.admit(C, 1)
     bench.execute(api.CacheResult(later, 9000.0), api.Run(later))
     assert [entry[1] for entry in bench.calls_of("start_run")] == [
@@ -302,7 +302,7 @@
     rid = bench.node.context.requests.last_id
     bench.execute(api.CacheResult(rid, 9000.0), api.Run(rid))  # the key was freed
     bench.node.caller_disconnected(running)
-    bench.node.runs.on_notice(RunFinished(1, B, "fine", 5.0, b"receipt"))
+    bench.node.run_tracker.on_notice(RunFinished(1, B, "fine", 5.0, b"receipt"))
     bench.execute(api.RespondFromCache(bench.admit(C, 1)))
     assert (
         bench.responses[-1] == (C, Success(b"receipt"))
@@ -316,8 +316,8 @@
     bench.execute(api.Run(rid))
     bench.execute(api.CancelRun(rid))
     assert bench.calls_of("cancel_run") == [("cancel_run", A)]
-    bench.node.runs.on_notice(CommandRejected("BREAK", A))
-    bench.node.runs.on_notice(RunFinished(1, A, "fine", 5.0, b"page"))
+    bench.node.run_tracker.on_notice(CommandRejected("BREAK", A))
+    bench.node.run_tracker.on_notice(RunFinished(1, A, "fine", 5.0, b"page"))
     assert bench.responses == [(A, Success(b"page"))]
     bench.execute(api.CancelRun(rid))
     assert len(bench.calls_of("cancel_run")) == 1  # over: nothing to stop
@@ -330,7 +330,7 @@
     bench.execute(api.CacheResult(rid, 9000.0), api.Run(rid))
     bench.node.caller_disconnected(ask, withdrawn=True)
     bench.execute(api.RespondFromCache(bench.admit(B, 1)))
-    bench.node.runs.on_notice(RunFinished(1, A, "fine", 5.0, b"receipt"))
+    bench.node.run_tracker.on_notice(RunFinished(1, A, "fine", 5.0, b"receipt"))
     assert bench.responses == [(A, Failure("Withdrawn")), (B, Success(b"receipt"))]
 
 
@@ -340,7 +340,7 @@
     bench.reachable = False
     bench.node.admit(bench, bench.make_request(A, 1, body=b"other"))  # type: ignore[arg-type]
     bench.node.admit(bench, bench.make_request(B, 1, body=b"other"))  # type: ignore[arg-type]
-    bench.node.runs.on_notice(RunFinished(1, A, "fine", 5.0, b"receipt"))
+    bench.node.run_tracker.on_notice(RunFinished(1, A, "fine", 5.0, b"receipt"))
     bench.node.admit(bench, bench.make_request(C, 1, body=b"other"))  # type: ignore[arg-type]
     assert [type(outcome) for _, outcome in bench.responses] == [Failure, Failure, Success, Failure]
     assert bench.responses[2] == (A, Success(b"receipt"))
--- a/tests/test_idempotency_table.py
+++ b/tests/test_idempotency_table.py
@@ -72,7 +72,7 @@
     table.finish(1, b"late")
     table.expire(50_500.0)
     table.expire(51_000.0)
-    assert len(table) == 0 and not table._expiries
+    assert len(table) == 0 and not table._expiration_heap
 
 
 def test_a_full_table_enters_nothing_more() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -99,7 +99,7 @@
     balancer = node.balancer()
     balancer.send_request(A, recv=str(int(time.time() * 1000) - 3000), ttl="2000")
     assert balancer.read()[2][0] == "Busy"
-    assert "answered for the module" not in node.log.read_text()
+    assert "deadline passed without a response" not in node.log.read_text()
 
 
 def test_lost_a_broken_interpreter_link_is_replayed_without_gap_or_double(node: Program) -> None:
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -141,7 +141,7 @@
         while node.discovery.recv(100) != b"announce n3 false":
             pass
         assert balancer.response(balancer.call("ping", [{}])) is False
-        node.wait_for_log("interpreter unreachable: out of the list")
+        node.wait_for_log("interpreter unreachable: node reported as not accepting requests")
         node.interpreter.greet()
         while node.discovery.recv(100) != b"announce n3 true":
             pass
