--- a/spindlerelay/frontends/__init__.py
+++ b/spindlerelay/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Front ends of the node: the protocols that balancers and operators' tools speak."""
+"""Front ends of the node: servers for the protocols of balancers and of operators' tools."""
--- a/spindlerelay/frontends/balancer_connection.py
+++ b/spindlerelay/frontends/balancer_connection.py
@@ -1,6 +1,7 @@
-"""One balancer's connection: its states, its open requests and the end of it.
+"""The connection of one balancer: its state machine, its open requests and its shutdown.
 
-Owns one socket. It decodes by ``msgpack_rpc_codec``; which requests run and how they end is the node's.
+Owns one socket. ``msgpack_rpc_codec`` decodes the bytes; the node decides which requests run and which
+response they get.
 """
 
 from __future__ import annotations
@@ -15,28 +16,29 @@
 from spindlerelay.transport.event_loop import EventLoop
 from spindlerelay.transport.system import Socket
 
-GOAWAY_CROSSING_MS = 50.0  # by the protocol: a request may cross a goaway for so long
-MAX_OPEN_REQUESTS = 32  # on one connection, by the protocol
-MAX_BAD_REQUESTS = 16  # on one connection, past which it is asked to go
-MAX_CLOCK_AHEAD_MS = 5000.0  # a request cannot have been received later than now, but clocks are being set
-WRITE_STALL_TIMEOUT_MS = 15000.0  # without a byte of a response taken: the peer is gone
-CLOSE_TIMEOUT_MS = 5000.0  # for the peer to close its side after ours
-FIRST_REQUEST_TIMEOUT_MS = 1500.0  # a connection without a whole request for so long is no balancer's
-PARTIAL_REQUEST_TIMEOUT_MS = 1500.0  # without another byte of a request that was begun
-NEAR_CAPACITY_TIMEOUT_MS = 100.0  # in place of the three above while the connection table is nearly full
+GOAWAY_CROSSING_MS = 50.0  # protocol limit: requests sent this long after a goaway may not have seen it
+MAX_OPEN_REQUESTS = 32  # protocol limit for one connection
+MAX_BAD_REQUESTS = 16  # a connection with more invalid requests gets a goaway
+MAX_CLOCK_AHEAD_MS = 5000.0  # tolerance for arrival times in the future, since clocks are being set
+WRITE_STALL_TIMEOUT_MS = 15000.0  # a peer that takes no byte of a response for this time is gone
+CLOSE_TIMEOUT_MS = 5000.0  # time for the peer to close its side after the node has closed its own
+FIRST_REQUEST_TIMEOUT_MS = 1500.0  # a client without a whole request in this time is not a balancer
+PARTIAL_REQUEST_TIMEOUT_MS = 1500.0  # longest time between two bytes of one request
+# Replaces the three timeouts above while the connection table is nearly full.
+NEAR_CAPACITY_TIMEOUT_MS = 100.0
 
 
 class ConnectionState(Enum):
-    """What is still read on a connection, and what is owed."""
+    """States of a connection: whether requests are still read, and whether responses are still to be sent."""
 
     ACCEPTING = "accepting"  # requests are accepted
-    GOING_AWAY = "going away"  # asked to go; what still comes may have crossed the goaway, and is accepted
-    INPUT_ENDED = "input ended"  # nothing more is read; open requests are owed their responses
-    CLOSING = "closing"  # our side has ended, nothing is owed; what comes is dropped until the peer closes
+    GOING_AWAY = "going away"  # a goaway was sent; requests that may have crossed it are accepted
+    INPUT_ENDED = "input ended"  # no more input is read; open requests still get their responses
+    CLOSING = "closing"  # all responses are sent and output has ended; input is dropped until the peer closes
 
 
 class ConnectionEvent(Enum):
-    """What changes a connection's state."""
+    """Events that change the state of a connection."""
 
     GOAWAY_SENT = auto()
     INPUT_ENDED = auto()
@@ -54,7 +56,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The server, as far as its connections know it."""
+    """The interface of the server to its connections."""
 
     loop: EventLoop
     node: RequestReceiver
@@ -63,7 +65,7 @@
     max_request_ms: float
 
     def request_opened(self, connection: BalancerConnection, msgid: int, request: IncomingRequest) -> None:
-        """Enter an open request, and hand it to the node."""
+        """Add an open request to the server's table, and hand it to the node."""
         ...
 
     def connection_closed(self, connection: BalancerConnection, requests: list[IncomingRequest]) -> None:
@@ -72,7 +74,7 @@
 
 
 class BalancerConnection:
-    """One balancer's connection."""
+    """The connection of one balancer."""
 
     def __init__(self, server: ConnectionOwner, sock: Socket) -> None:
         now_ms = server.loop.now()
@@ -83,13 +85,13 @@
         self._state_since_ms = now_ms
         self._opened_at_ms = now_ms
         self.last_used_at_ms = now_ms
-        self._last_progress_at_ms = now_ms  # when unsent bytes last changed, or there were none
+        self._last_progress_at_ms = now_ms  # when the number of unsent bytes last changed or was 0
         self._unsent_bytes = 0
-        self._partial_since_ms = 0.0  # since when a request has been half read, 0 for none
-        self._has_received = False  # a whole request has come
+        self._partial_since_ms = 0.0  # when the partly read request began, 0 if there is none
+        self._has_received_request = False  # whether a whole request has been read
         self._bad_requests = 0
         self.connection = Connection(
-            server.loop, sock, self._on_data, self._closed, on_peer_end=self._on_peer_end
+            server.loop, sock, self._on_data, self._on_close, on_peer_end=self._on_peer_end
         )
 
     def _transition(self, event: ConnectionEvent) -> None:
@@ -103,7 +105,7 @@
     def _on_data(self, data: bytes) -> None:
         self.last_used_at_ms = self._server.loop.now()
         if not self._reading:
-            return  # read and dropped: see Connection.end
+            return  # input is read and dropped until the peer closes: see Connection.end_output
         messages = self._decoder.feed(data)
         for message in messages:
             if isinstance(message, Withdrawal):
@@ -111,14 +113,16 @@
             else:
                 self._on_call(message)
         if self._decoder.error:
-            # A stream that lost its framing cannot be trusted again, but what was read is owed a response.
+            # After a framing error the rest of the stream is unreadable. Requests read before it still get
+            # their responses.
             self._warn(self._decoder.error)
             self._end_input()
             self._close_if_idle()
         elif self._bad_requests > MAX_BAD_REQUESTS and self._state is ConnectionState.ACCEPTING:
-            # The framing is intact, so what follows can still be responded to: to drop it would lose requests
-            # that a balancer sent before it heard of the fault, as when its classes are newer than ours.
-            self._warn("too many bad requests: asked to go")
+            # The framing is intact, so the requests that follow still get responses. Dropping them would lose
+            # requests that the balancer sent before it learned of the error, for example when it knows newer
+            # classes than the node.
+            self._warn("too many bad requests: goaway sent")
             self.go_away()
         if not self._decoder.partial_frame:
             self._partial_since_ms = 0.0
@@ -137,9 +141,10 @@
         self._transition(ConnectionEvent.INPUT_ENDED)
 
     def _on_peer_end(self) -> bool:
-        """Return whether the balancer, which writes no more, is owed something and may still read it.
+        """Handle the end of the balancer's output; return whether responses to it are still open or unsent.
 
-        The goaway distinguishes a balancer that ended only its side from one that is gone, which resets.
+        A goaway is written to tell a balancer that has ended only its own side from one that is gone: the
+        latter answers with a reset.
         """
         if self._reading:
             if self.open_requests:
@@ -149,7 +154,7 @@
         return bool(self.open_requests or self.connection.output_buffer)
 
     def _on_call(self, call: Call) -> None:
-        self._has_received = True
+        self._has_received_request = True
         node = self._server.node
         if call.method == msgpack_rpc_codec.METHOD_HEALTH_CHECK:
             self.connection.write(
@@ -183,7 +188,7 @@
         return request
 
     def _withdraw(self, msgid: int) -> None:
-        # An id that is not open was responded to as the withdrawal was under way, or never was.
+        # An id that is not open got its response while the withdrawal was in flight, or was never used.
         if request := self.open_requests.get(msgid):
             self._server.node.caller_disconnected(request, withdrawn=True)
 
@@ -198,22 +203,22 @@
         self._close_if_idle()
 
     def release(self, msgid: int) -> None:
-        """Owe no response to this request: it is open on another connection now."""
+        """Forget an open request without a response, because it is open on another connection now."""
         self.open_requests.pop(msgid, None)
         self._close_if_idle()
 
     def idle_ms(self, now_ms: float) -> float:
-        """Return how long it has been idle, 0 while it has open requests or was asked to go."""
+        """Return how long the connection has been idle, 0 if it has open requests or has got a goaway."""
         if self.open_requests or self._state is not ConnectionState.ACCEPTING:
             return 0.0
         return now_ms - self.last_used_at_ms
 
     def has_bytes_in_flight(self) -> bool:
-        """Return whether bytes are unsent, or a request is half read."""
+        """Return whether output is unsent, or a request is partly read."""
         return bool(self.connection.output_buffer) or self._partial_since_ms > 0.0
 
     def go_away(self) -> None:
-        """Ask the balancer to send its requests elsewhere, once."""
+        """Ask the balancer to send its requests to other nodes; only the first call sends a goaway."""
         if self._state is ConnectionState.ACCEPTING:
             self._transition(ConnectionEvent.GOAWAY_SENT)
             self.connection.write(msgpack_rpc_codec.GOAWAY)
@@ -223,10 +228,10 @@
             self._end_output()
 
     def close_idle(self, skip_last_read: bool = False) -> None:
-        """End our side of a connection that owes nothing, after a last read.
+        """End the output of a connection without open requests, after a last read.
 
-        A request that came in the meantime postpones the end. Nothing that is read after it is accepted: it
-        could not be responded to, and a balancer sends again what crossed the end.
+        A request that the last read returns postpones the end. Input that arrives after the end is dropped,
+        as it could get no response; a balancer resends requests that crossed the end.
         """
         if self._reading and not skip_last_read:
             partial_since_ms = self._partial_since_ms
@@ -241,7 +246,7 @@
         self._transition(ConnectionEvent.OUTPUT_ENDED)
         self.connection.end_output()
 
-    def _closed(self, _was_open: bool) -> None:
+    def _on_close(self, _was_open: bool) -> None:
         requests = list(self.open_requests.values())
         self.open_requests.clear()
         self._server.connection_closed(self, requests)
@@ -266,23 +271,23 @@
     def _sweep_without_requests(self, now_ms: float, idle_timeout_ms: float, near_capacity: bool) -> None:
         if self._partial_since_ms:
             self._sweep_partial_request(now_ms, near_capacity)
-        elif not self._has_received and now_ms - self._opened_at_ms > (
+        elif not self._has_received_request and now_ms - self._opened_at_ms > (
             NEAR_CAPACITY_TIMEOUT_MS if near_capacity else FIRST_REQUEST_TIMEOUT_MS
         ):
             self.close_idle()
         elif self._state is ConnectionState.GOING_AWAY:
-            # A request that crossed the goaway would be lost by an end at once.
-            quiet_ms = now_ms - max(self._state_since_ms, self.last_used_at_ms)
-            if quiet_ms > 2 * GOAWAY_CROSSING_MS and not self._unsent_bytes:
+            # Closing at once would lose a request that crossed the goaway.
+            idle_ms = now_ms - max(self._state_since_ms, self.last_used_at_ms)
+            if idle_ms > 2 * GOAWAY_CROSSING_MS and not self._unsent_bytes:
                 self.close_idle()
         elif now_ms - self.last_used_at_ms >= idle_timeout_ms:
             self.go_away()
 
     def _sweep_partial_request(self, now_ms: float, near_capacity: bool) -> None:
-        # A slow writer may go on while its bytes come, up to the end of any request's time.
-        impatient = near_capacity and not self._has_received
-        stall_timeout_ms = NEAR_CAPACITY_TIMEOUT_MS if impatient else PARTIAL_REQUEST_TIMEOUT_MS
+        # A slow writer is tolerated while bytes keep arriving, up to the longest deadline of any class.
+        uses_short_timeout = near_capacity and not self._has_received_request
+        stall_timeout_ms = NEAR_CAPACITY_TIMEOUT_MS if uses_short_timeout else PARTIAL_REQUEST_TIMEOUT_MS
         stalled = now_ms - self.last_used_at_ms > stall_timeout_ms
         if stalled or now_ms - self._partial_since_ms > self._server.max_request_ms:
-            self._warn("a request that stopped half way")
+            self._warn("incomplete request timed out")
             self.close_idle()
--- a/spindlerelay/frontends/balancer_server.py
+++ b/spindlerelay/frontends/balancer_server.py
@@ -1,7 +1,7 @@
-"""The front end that balancers connect to: its listening socket and all their connections.
+"""The front end for balancers: its listening socket and its connections.
 
-Owns the listener, the connection table and the place of each open request. The protocol's bytes are
-``msgpack_rpc_codec``'s, one connection's states ``balancer_connection``'s.
+Owns the listener, the connection table and the table that maps each open request to its connection.
+``msgpack_rpc_codec`` encodes and decodes the protocol; ``balancer_connection`` has a connection's states.
 """
 
 from __future__ import annotations
@@ -15,43 +15,43 @@
 from spindlerelay.transport.system import Socket
 
 SWEEP_INTERVAL_MS = 50.0
-RESERVED_SOCKETS = 32  # descriptors of our own links, log and listener
+RESERVED_SOCKETS = 32  # descriptors for the connections to backends, the log and the listener
 MIN_CONNECTIONS = 8
-NEAR_CAPACITY_IDLE_TIMEOUT_MS = 300.0  # idle for so long, a connection may be asked to go while near capacity
-NEAR_CAPACITY_FRACTION = 0.75  # of the connection table, past which it is nearly full
-MAX_BACKLOG = 2048  # connections accepted at the end of listening: twice the kernel's queue
-DEADLINE_MARGIN_MS = 1000.0  # past its class's deadline that a request may state
+NEAR_CAPACITY_IDLE_TIMEOUT_MS = 300.0  # near capacity, a connection idle for this time may get a goaway
+NEAR_CAPACITY_FRACTION = 0.75  # the connection table is nearly full when more of it is in use
+MAX_BACKLOG = 2048  # most connections accepted when listening ends: twice the kernel's backlog
+DEADLINE_MARGIN_MS = 1000.0  # a request may state a deadline this much longer than that of its class
 
 
 class BalancerServer:
-    """The listening socket and all connections of balancers."""
+    """The listening socket for balancers and all their connections."""
 
     def __init__(
         self,
         loop: EventLoop,
         address: tuple[str, int],
         settings: api.Settings,
-        sockets: int,
+        max_sockets: int,
         node: RequestReceiver,
-        inherited: int | None = None,
+        inherited_fd: int | None = None,
     ) -> None:
         self.loop = loop
         self.node = node
-        self._inherited = inherited is not None
+        self._socket_inherited = inherited_fd is not None
         self.schemas: dict[str, RequestSchema] = {}
         self.tenants: dict[str, int] = {}
         self.max_request_ms = 0.0
         self.apply_settings(settings, {spec.name for spec in settings.classes})
-        self._max_connections = max(MIN_CONNECTIONS, sockets - RESERVED_SOCKETS)
+        self._max_connections = max(MIN_CONNECTIONS, max_sockets - RESERVED_SOCKETS)
         self._idle_timeout_ms = settings.caller_idle_timeout_ms or float("inf")
         self._draining = False
         self.connections: dict[BalancerConnection, None] = {}
         self._open_requests: dict[IncomingRequest, tuple[BalancerConnection, int]] = {}
-        self.listener = Listener(loop, address, self._accept, inherited)
+        self.listener = Listener(loop, address, self._accept, inherited_fd)
         loop.call_later(SWEEP_INTERVAL_MS, self._sweep)
 
     def apply_settings(self, settings: api.Settings, accepted_classes: set[str]) -> None:
-        """Accept requests of these classes from now on; classes keep their indices in the settings."""
+        """Accept requests of ``accepted_classes`` from now on; classes must keep their indices."""
         self.schemas = {
             spec.name: RequestSchema(
                 index, spec.idempotency is api.Idempotency.KEYED, spec.deadline_ms + DEADLINE_MARGIN_MS
@@ -72,7 +72,7 @@
             self.listener.set_paused(True)
 
     def request_opened(self, connection: BalancerConnection, msgid: int, request: IncomingRequest) -> None:
-        """Enter an open request, and hand it to the node."""
+        """Add an open request to the table, and hand it to the node."""
         self._open_requests[request] = (connection, msgid)
         self.node.admit(self, request)
 
@@ -88,15 +88,19 @@
     def _sweep(self) -> None:
         self.loop.call_later(SWEEP_INTERVAL_MS, self._sweep)
         now_ms = self.loop.now()
-        # A full table accepts nobody: well before that, connections without a request are closed, then idle
-        # ones are asked to go.
-        excess = len(self.connections) - NEAR_CAPACITY_FRACTION * self._max_connections
+        # A full table accepts no connections. Well before it is full, connections that sent no request are
+        # closed, then idle connections get a goaway.
+        excess_connections = len(self.connections) - NEAR_CAPACITY_FRACTION * self._max_connections
         for connection in list(self.connections):
-            connection.sweep(now_ms, self._idle_timeout_ms, excess > 0)
-        if excess > 0:
-            idle = [each for each in self.connections if each.idle_ms(now_ms) > NEAR_CAPACITY_IDLE_TIMEOUT_MS]
-            idle.sort(key=lambda each: each.last_used_at_ms)
-            for connection in idle[: int(excess) + 1]:
+            connection.sweep(now_ms, self._idle_timeout_ms, excess_connections > 0)
+        if excess_connections > 0:
+            idle_connections = [
+                candidate
+                for candidate in self.connections
+                if candidate.idle_ms(now_ms) > NEAR_CAPACITY_IDLE_TIMEOUT_MS
+            ]
+            idle_connections.sort(key=lambda candidate: candidate.last_used_at_ms)
+            for connection in idle_connections[: int(excess_connections) + 1]:
                 connection.go_away()
 
     def respond(self, request: IncomingRequest, response: FinalResponse) -> None:
@@ -106,48 +110,48 @@
             connection.respond(msgid, response)
 
     def is_reachable(self, request: IncomingRequest) -> bool:
-        """Return whether a response would certainly reach its balancer: not one that has ended its side."""
+        """Return whether a response is certain to arrive: not if the balancer has ended its output."""
         connection, _ = self._open_requests.get(request, (None, 0))
         return connection is not None and connection.connection.read_side_open
 
     def release(self, request: IncomingRequest) -> None:
-        """Owe no response on this connection: the balancer has sent the request again on another."""
+        """Forget an open request without a response: the balancer has sent it again on another connection."""
         connection, msgid = self._open_requests.pop(request, (None, 0))
         if connection:
             connection.release(msgid)
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Ask connections to go that were idle for so long."""
+        """Set the time after which an idle connection gets a goaway."""
         self._idle_timeout_ms = timeout_ms
 
     def start_draining(self) -> None:
-        """Ask all balancers to leave; those that still come are served and asked, too."""
+        """Send a goaway on all open and all new connections; requests on them are still served."""
         self._draining = True
         for connection in self.connections:
             connection.go_away()
 
     def is_idle(self) -> bool:
-        """Return whether no request is open or half read, and all responses are sent."""
+        """Return whether no request is open or partly read, and all responses have been sent."""
         return not self._open_requests and not any(
             connection.has_bytes_in_flight() for connection in self.connections
         )
 
     def stop_accepting(self) -> None:
-        """Close the listening socket, after accepting the connections that wait in its queue.
+        """Close the listening socket, after accepting the connections in its backlog.
 
-        An inherited socket is left as it is: the process that takes over serves who waits there.
+        The backlog of an inherited socket is left alone: the process that takes over serves it.
         """
-        if self._inherited:
+        if self._socket_inherited:
             self.listener.close()
         else:
             self.listener.accept_waiting_and_close(MAX_BACKLOG)
 
     def close_connections(self, skip_last_read: bool = False) -> None:
-        """Close every connection on which nothing is owed; after the listening socket."""
+        """Close every connection without an open request; the listening socket must be closed before."""
         for connection in list(self.connections):
             if not connection.open_requests:
                 connection.close_idle(skip_last_read)
 
     def is_closed(self) -> bool:
-        """Return whether every connection has closed on both sides: no byte is under way."""
+        """Return whether every connection has closed on both sides, so that no byte is in flight."""
         return not self.connections
--- a/spindlerelay/frontends/management_server.py
+++ b/spindlerelay/frontends/management_server.py
@@ -1,14 +1,14 @@
-"""The management address, for operators' tools: HTTP/1.1, one request a connection, each response closes it.
+"""HTTP/1.1 server at the management address, for operators' tools, with one request per connection.
 
     GET /control/ready      200 while this process is ready to serve, else 503
-    GET /control/counters   200 with the counters, one StatsD line each
-    GET /control/...        200 with the page of an operator's feature
-
-It accepts no work, so the admission controller takes no part in it. A caller must get its response within a
-second however busy the node is; some connect and finish no request. So a connection has REQUEST_TIMEOUT_MS
-for a whole request, at most MAX_CONNECTIONS are open (the oldest goes first), and a request gets its response
-in the turn that completes it. A malformed request gets 400 and a close; an unknown path 404; another method
-405.
+    GET /control/counters   200 with the counters as StatsD lines
+    GET /control/...        200 with the page of an optional feature
+
+The server takes no render requests, so the admission controller is not involved. A caller must get its
+response within a second however busy the node is, although some clients connect and never complete a request.
+Hence a connection has REQUEST_TIMEOUT_MS for a whole request, at most MAX_CONNECTIONS are open (the oldest is
+closed first), and a request gets its response in the turn that completes it. A malformed request gets 400, an
+unknown path 404, and a method other than GET 405. Each response closes its connection.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 from spindlerelay.transport.listener import Listener
 from spindlerelay.transport.system import Socket
 
-REQUEST_TIMEOUT_MS = 500.0  # for a whole request; callers wait 1 s
+REQUEST_TIMEOUT_MS = 500.0  # for a whole request to arrive; callers wait 1 s for the response
 SWEEP_INTERVAL_MS = 100.0
 MAX_CONNECTIONS = 32
-MAX_REQUEST_BYTES = 8192  # more is no request of a tool
+MAX_REQUEST_BYTES = 8192  # requests of operators' tools are shorter
 PATH_READY = "/control/ready"
 PATH_COUNTERS = "/control/counters"
 REASONS = {
@@ -39,14 +39,14 @@
 
 
 class Page(NamedTuple):
-    """What a path returns."""
+    """Status code and body of a response."""
 
     status: int
     body: bytes
 
 
 def encode_response(status: int, body: bytes) -> bytes:
-    """Return a whole HTTP response."""
+    """Return the bytes of an HTTP response with its headers."""
     head = (
         f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
@@ -55,7 +55,7 @@
 
 
 class ManagementConnection:
-    """One connection and the one request on it."""
+    """A connection, which carries a single request."""
 
     def __init__(self, server: ManagementServer, sock: Socket) -> None:
         self._server = server
@@ -80,11 +80,11 @@
             self._respond(Page(400, b"malformed request\n"))
 
     def on_url(self, url: bytes) -> None:
-        """Collect the URL; called by the parser, in pieces."""
+        """Append a part of the URL. Called by the parser, possibly several times for one URL."""
         self._url += url
 
     def on_message_complete(self) -> None:
-        """Respond to the request; called by the parser."""
+        """Respond to the request. Called by the parser."""
         if self.responded:
             return
         path = self._url.split(b"?", 1)[0].decode("latin-1")
@@ -99,7 +99,7 @@
         return bool(self.connection.output_buffer)
 
     def close(self) -> None:
-        """Close it, but respond to a request that has come since it was last read."""
+        """Close the connection, after responding to a request that has arrived since the last read."""
         self.connection.read_available()
         self.connection.close()
 
@@ -126,11 +126,11 @@
         loop.call_later(SWEEP_INTERVAL_MS, self._sweep)
 
     def add_page(self, path: str, render: Callable[[], bytes]) -> None:
-        """Publish a feature's page under this path."""
+        """Publish the page of an optional feature under ``path``."""
         self._feature_pages[path] = render
 
     def page(self, path: str, method: bytes) -> Page:
-        """Return what a request of this path and method gets."""
+        """Return the response to a request with this path and method."""
         paths = (PATH_READY, PATH_COUNTERS, *self._feature_pages)
         if path not in paths:
             return Page(404, f"unknown path: try {' or '.join(paths)}\n".encode())
@@ -147,14 +147,14 @@
         self.connections[ManagementConnection(self, sock)] = None
 
     def _sweep(self) -> None:
-        """Close the connections without a whole request in time, and those that do not take the response."""
+        """Close connections that take too long to send a whole request or to take its response."""
         self.loop.call_later(SWEEP_INTERVAL_MS, self._sweep)
         now_ms = self.loop.now()
-        for each in list(self.connections):
-            if each.responded and now_ms - each.opened_at_ms > 2 * REQUEST_TIMEOUT_MS:
-                each.connection.close()
-            elif not each.responded and now_ms - each.opened_at_ms > REQUEST_TIMEOUT_MS:
-                each.close()
+        for connection in list(self.connections):
+            if connection.responded and now_ms - connection.opened_at_ms > 2 * REQUEST_TIMEOUT_MS:
+                connection.connection.close()
+            elif not connection.responded and now_ms - connection.opened_at_ms > REQUEST_TIMEOUT_MS:
+                connection.close()
 
     def close(self) -> None:
         """Close the listening socket and all connections."""
--- a/spindlerelay/frontends/msgpack_rpc_codec.py
+++ b/spindlerelay/frontends/msgpack_rpc_codec.py
@@ -1,6 +1,6 @@
-"""Codec of the balancers' protocol, MessagePack-RPC: bytes to calls and back.
+"""Codec of the balancers' protocol, MessagePack-RPC: decodes calls and encodes responses.
 
-The one place that knows the protocol's field and method names. Pure: no sockets, no clock, no decisions.
+Only this module knows the field and method names of the protocol. Pure: no sockets, no clock, no decisions.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 MESSAGE_RESPONSE = 1
 MESSAGE_NOTIFICATION = 2
 
-MAX_BODY_BYTES = 2048  # by the protocol
-MAX_FRAME_BYTES = 8192  # body, a dozen short fields and a wide margin
-MAX_ITEMS = 64  # in one array or map: a valid frame has a dozen
+MAX_BODY_BYTES = 2048  # protocol limit
+MAX_FRAME_BYTES = 8192  # enough for the body and a dozen short fields, with a wide margin
+MAX_ITEMS = 64  # limit for one array or map; a valid frame has about a dozen items
 MAX_MESSAGE_ID = 2**32
-MAX_TIME_TO_LIVE_MS = 1e6  # where the class sets no limit
+MAX_TIME_TO_LIVE_MS = 1e6  # limit for classes that set none
 MAX_QUEUED_MEMORY_KB = 2000.0
 CALLER_ID_MASK = 0xFFFFFFFF
-MAX_METHOD_SHOWN = 40  # characters of an unknown method's name in the error
+MAX_SHOWN_METHOD_CHARS = 40  # longer names of unknown methods are cut in the error text
 
-HEX16 = re.compile(r"[0-9a-fA-F]{16}\Z")
-HEX32 = re.compile(r"[0-9a-fA-F]{32}\Z")
+HEX_16_DIGITS = re.compile(r"[0-9a-fA-F]{16}\Z")
+HEX_32_DIGITS = re.compile(r"[0-9a-fA-F]{32}\Z")
 DIGITS = re.compile(r"[0-9]{1,15}\Z")
 DECIMAL = re.compile(r"[0-9]{1,15}(\.[0-9]{1,15})?(e-?[0-9]{1,2})?\Z")
 GOAWAY: bytes = msgpack.packb([MESSAGE_NOTIFICATION, METHOD_GOAWAY, []])
 
 
 class Call(NamedTuple):
-    """A readable request; its parameters may still be invalid."""
+    """A request whose frame is valid; its parameters may still be invalid."""
 
     msgid: int
     method: str
@@ -63,13 +63,13 @@
 
 
 class Withdrawal(NamedTuple):
-    """The balancer no longer waits for the request of this message id."""
+    """A notification that the balancer no longer waits for the request with this message id."""
 
     msgid: int
 
 
 class RequestSchema(NamedTuple):
-    """What the requests of one class look like."""
+    """Properties of a request class that are needed to decode its requests."""
 
     class_index: int
     keyed: bool
@@ -77,15 +77,15 @@
 
 
 class InvalidFrameError(SpindlerelayError):
-    """Bytes that are no message: the stream cannot be read on."""
+    """Bytes that are not a valid frame; the rest of the stream is unreadable."""
 
 
 class InvalidRequestError(SpindlerelayError):
-    """A readable request that cannot be accepted. Its text goes to the balancer."""
+    """A request in a valid frame that cannot be accepted. The error text is sent to the balancer."""
 
 
 class InvalidFieldError(InvalidRequestError):
-    """A request field that is missing or out of its range."""
+    """A request field that is missing or out of range."""
 
     def __init__(self, field: str) -> None:
         super().__init__(f"bad field {field}")
@@ -93,17 +93,17 @@
 
 
 class InvalidParametersError(InvalidRequestError):
-    """Parameters that are not a map of fields and a binary body."""
+    """Parameters other than a map of fields and a binary body."""
 
     def __init__(self) -> None:
         super().__init__("a request needs fields and a body")
 
 
 class UnknownMethodError(InvalidRequestError):
-    """A method that names no class of this node."""
+    """A method that is not the name of a request class of this node."""
 
     def __init__(self, method: str) -> None:
-        super().__init__(f"unknown method {method[:MAX_METHOD_SHOWN]}")
+        super().__init__(f"unknown method {method[:MAX_SHOWN_METHOD_CHARS]}")
         self.method = method
 
 
@@ -123,7 +123,7 @@
         self.limit = limit
 
 
-def _unpacker() -> msgpack.Unpacker:
+def _new_unpacker() -> msgpack.Unpacker:
     return msgpack.Unpacker(
         raw=False,
         max_buffer_size=8 * MAX_FRAME_BYTES,
@@ -137,22 +137,22 @@
 
 
 class Decoder:
-    """Frames of one connection. Once ``error`` has a text, nothing more can be read from it.
+    """Decodes the frames of one connection. Once ``error`` is set, no more frames can be decoded.
 
-    All decoders share one unpacker, which takes 44 KB: it is idle between two chunks, as the incomplete frame
-    at the end of a chunk is kept here.
+    All decoders share one unpacker, since an unpacker takes 44 KB. It holds no data between two chunks,
+    because each decoder keeps the incomplete frame at the end of a chunk in ``partial_frame``.
     """
 
-    _shared = _unpacker()
+    _shared_unpacker = _new_unpacker()
 
     def __init__(self) -> None:
         self.error = ""
         self.partial_frame = b""
 
     def feed(self, data: bytes) -> list[Call | Withdrawal]:
-        """Return the messages that are complete now, those before an invalid frame too."""
+        """Return the messages that ``data`` completes, including the ones ahead of an invalid frame."""
         messages: list[Call | Withdrawal] = []
-        unpacker = Decoder._shared
+        unpacker = Decoder._shared_unpacker
         data = self.partial_frame + data if self.partial_frame else data
         start = frame_end = unpacker.tell()
         try:
@@ -167,22 +167,22 @@
             self.partial_frame = data[frame_end - start :]
             if len(self.partial_frame) > MAX_FRAME_BYTES:
                 raise InvalidFrameError("oversized frame")
-        except Exception as error:  # the library raises many kinds; all mean that the stream is unreadable
+        except Exception as error:  # msgpack raises many types; all mean an unreadable stream
             self.error = str(error) or type(error).__name__
             self.partial_frame = b""
         if self.partial_frame or self.error:
-            Decoder._shared = _unpacker()  # the old one has the incomplete frame in its buffer
+            Decoder._shared_unpacker = _new_unpacker()  # the old one still buffers the incomplete frame
         return messages
 
 
 def _decode_frame(frame: Any) -> Call | Withdrawal | None:
-    """Return None for an unknown notification, which needs no response."""
+    """Return the decoded frame, or None for an unknown notification, which needs no response."""
     if not isinstance(frame, list) or not frame:
         raise InvalidFrameError("not a message")
     if frame[0] == MESSAGE_NOTIFICATION and len(frame) == 3:
         _, method, params = frame
-        withdraws = method == METHOD_WITHDRAW and isinstance(params, list) and len(params) == 1
-        return Withdrawal(params[0]) if withdraws and type(params[0]) is int else None
+        is_withdrawal = method == METHOD_WITHDRAW and isinstance(params, list) and len(params) == 1
+        return Withdrawal(params[0]) if is_withdrawal and type(params[0]) is int else None
     if frame[0] == MESSAGE_RESPONSE:
         raise InvalidFrameError("a response where a request belongs")
     if type(frame[0]) is not int or frame[0] != MESSAGE_REQUEST or len(frame) != 4:
@@ -195,16 +195,16 @@
     return Call(msgid, method, params)
 
 
-def _matching(fields: Mapping[str, Any], name: str, pattern: re.Pattern[str]) -> str:
+def _matching_field(fields: Mapping[str, Any], name: str, pattern: re.Pattern[str]) -> str:
     value = fields.get(name)
     if not isinstance(value, str) or not pattern.match(value):
         raise InvalidFieldError(name)
     return value
 
 
-def _number(fields: Mapping[str, Any], name: str, minimum: float, below: float) -> float:
-    value = float(_matching(fields, name, DECIMAL))
-    if not minimum <= value < below:
+def _number_field(fields: Mapping[str, Any], name: str, minimum: float, upper_bound: float) -> float:
+    value = float(_matching_field(fields, name, DECIMAL))
+    if not minimum <= value < upper_bound:
         raise InvalidFieldError(name)
     return value
 
@@ -220,34 +220,41 @@
 
 
 def decode_request(params: list[Any], schema: RequestSchema, tenants: Mapping[str, int]) -> IncomingRequest:
-    """Return the request in a call's parameters; ``tenants`` maps names to indices, empty for no tenants.
+    """Return the request in the parameters of a call.
+
+    Args:
+        params: parameters of the call: a map of fields and the body.
+        schema: properties of the request's class.
+        tenants: indices of the tenants by name; empty if the settings have no tenants.
 
     Raises:
-        InvalidRequestError: Its text names the field that is invalid.
+        InvalidRequestError: if a parameter or a field is invalid; the text names the field.
     """
     if len(params) != 2 or not isinstance(params[0], dict) or not isinstance(params[1], bytes):
         raise InvalidParametersError
     fields, body = params
-    received_at_ms = float(_matching(fields, FIELD_RECEIVED_AT, DIGITS))
+    received_at_ms = float(_matching_field(fields, FIELD_RECEIVED_AT, DIGITS))
     tenant_index = _tenant_index(fields, tenants)
-    queued_memory_kb = _number(fields, FIELD_QUEUED_MEMORY, 0.0, MAX_QUEUED_MEMORY_KB)
+    queued_memory_kb = _number_field(fields, FIELD_QUEUED_MEMORY, 0.0, MAX_QUEUED_MEMORY_KB)
     if not queued_memory_kb:
         raise InvalidFieldError(FIELD_QUEUED_MEMORY)
     keyed = schema.keyed
     has_resource = FIELD_RESOURCE_KEY in fields and not keyed
     return IncomingRequest(
-        call_id=_matching(fields, FIELD_CALL_ID, HEX16).lower(),
+        call_id=_matching_field(fields, FIELD_CALL_ID, HEX_16_DIGITS).lower(),
         class_index=schema.class_index,
         received_at_ms=received_at_ms,
-        due_at_ms=received_at_ms + _number(fields, FIELD_TIME_TO_LIVE, 0.0, schema.max_ttl_ms),
+        due_at_ms=received_at_ms + _number_field(fields, FIELD_TIME_TO_LIVE, 0.0, schema.max_ttl_ms),
         body=body,
         tenant_index=tenant_index,
-        caller_id=int(_matching(fields, FIELD_CALLER_ID, DIGITS)) & CALLER_ID_MASK,
+        caller_id=int(_matching_field(fields, FIELD_CALLER_ID, DIGITS)) & CALLER_ID_MASK,
         is_retry=fields.get(FIELD_IS_RETRY) == TRUE,
         queued_memory_kb=queued_memory_kb,
-        criticality=_number(fields, FIELD_CRITICALITY, 0.0, 1.0),
-        idempotency_key=_matching(fields, FIELD_IDEMPOTENCY_KEY, HEX32) if keyed else "",
-        resource_key=int(_matching(fields, FIELD_RESOURCE_KEY, HEX16), 16) if has_resource else 0,
+        criticality=_number_field(fields, FIELD_CRITICALITY, 0.0, 1.0),
+        idempotency_key=_matching_field(fields, FIELD_IDEMPOTENCY_KEY, HEX_32_DIGITS) if keyed else "",
+        resource_key=int(_matching_field(fields, FIELD_RESOURCE_KEY, HEX_16_DIGITS), 16)
+        if has_resource
+        else 0,
     )
 
 
@@ -266,7 +273,7 @@
 
 
 def encode_response(msgid: int, response: FinalResponse, load: float | None) -> bytes:
-    """Return the frame of a final response; ``load`` None publishes no load."""
+    """Return the frame of a final response; no load is published if ``load`` is None."""
     fields = _load_fields(load)
     frame: list[Any]
     if isinstance(response, Success):
@@ -280,6 +287,6 @@
 
 
 def encode_health(msgid: int, healthy: bool, load: float | None) -> bytes:
-    """Return the frame that responds to a health check."""
+    """Return the frame of the response to a health check; no load is published if ``load`` is None."""
     packed: bytes = msgpack.packb([MESSAGE_RESPONSE, msgid, None, [healthy, _load_fields(load)]])
     return packed
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -109,14 +109,14 @@
 
 
 def fault_as_a_connection_ends(patch: Patch) -> None:
-    right = balancer_connection.BalancerConnection._closed
+    right = balancer_connection.BalancerConnection._on_close
 
     def wrong(self: balancer_connection.BalancerConnection, was_open: bool) -> None:
         if any(request.is_retry for request in self.open_requests.values()):
             raise KeyError("planted")
         right(self, was_open)
 
-    patch.setattr(balancer_connection.BalancerConnection, "_closed", wrong)
+    patch.setattr(balancer_connection.BalancerConnection, "_on_close", wrong)
 
 
 PLANTS: dict[str, Callable[[Patch], None]] = {
