--- a/spindlerelay/frontends/balancer_connection.py
+++ b/spindlerelay/frontends/balancer_connection.py
@@ -16,7 +16,7 @@
 from spindlerelay.transport.event_loop import EventLoop
 from spindlerelay.transport.system import Socket
 
-GOAWAY_CROSSING_MS = 50.0  # protocol limit: requests sent this long after a goaway may not have seen it
+GOAWAY_CROSSING_MS = 50.0  # protocol limit: for this time after a goaway, a request may cross it
 MAX_OPEN_REQUESTS = 32  # protocol limit for one connection
 MAX_BAD_REQUESTS = 16  # a connection with more invalid requests gets a goaway
 MAX_CLOCK_AHEAD_MS = 5000.0  # tolerance for arrival times in the future, since clocks are being set
@@ -188,7 +188,7 @@
         return request
 
     def _withdraw(self, msgid: int) -> None:
-        # An id that is not open got its response while the withdrawal was in flight, or was never used.
+        # An id that is not open got its response while the withdrawal was in flight, or was never open.
         if request := self.open_requests.get(msgid):
             self._server.node.caller_disconnected(request, withdrawn=True)
 
--- a/spindlerelay/node/backend_links.py
+++ b/spindlerelay/node/backend_links.py
@@ -61,7 +61,7 @@
             addresses: host and port of each backend.
             node_name: name under which the announce service lists this node.
             on_notice: called with each notice of the interpreter about a run.
-            on_started: called each time the interpreter reports that it has started.
+            on_started: called with the banner that the interpreter sends on each new connection.
             on_reply: called with the result of each dependency call.
         """
         self.interpreter = InterpreterClient(loop, addresses.interpreter, on_notice, on_started)
--- a/spindlerelay/node/node.py
+++ b/spindlerelay/node/node.py
@@ -131,7 +131,7 @@
         """Handle a notice of the interpreter about a run."""
         self.run_tracker.on_notice(notice)
 
-    def on_interpreter_started(self, _notice: InterpreterStarted) -> None:
+    def on_interpreter_started(self, _banner: InterpreterStarted) -> None:
         """Start admission and discovery when the interpreter is reached for the first time."""
         if not self.context.started:
             self.context.started = True
--- a/spindlerelay/node/protocols.py
+++ b/spindlerelay/node/protocols.py
@@ -59,10 +59,10 @@
     """Delays rejections until service discovery has published that this node has no capacity."""
 
     def hold(self, send: Callable[[], None], due_at_ms: float) -> bool:
-        """Take over a rejection, to call ``send`` later but before ``due_at_ms``.
+        """Hold a rejection back, to call ``send`` later but before ``due_at_ms``.
 
         Returns:
-            False if the gate does not take it over: the caller must send the rejection at once.
+            False if the gate does not hold it back: the caller must send the rejection at once.
         """
         ...
 
--- a/spindlerelay/node/run_tracker.py
+++ b/spindlerelay/node/run_tracker.py
@@ -53,9 +53,8 @@
         )
         if notice.command == "BREAK":
             return  # the run continues or has just ended, and a RunFinished notice reports its end
-        if (
-            notice.command == "APPLY"
-        ):  # the run never started: its key is free, and it has no duration to learn from
+        if notice.command == "APPLY":
+            # The run never started: its key is free again, and it has no duration to learn from.
             self._context.duplicates.revoke_run(request)
             self._end_run(request, api.Outcome.NEVER_STARTED, None)
         else:
