--- a/tests/plants.py
+++ b/tests/plants.py
@@ -27,7 +27,7 @@
     """Tries of one key are not linked, and each may run."""
 
     def link(self: idempotency.IdempotencyTable, key: Any, request_id: int, *more: Any) -> int:
-        record = self._enter(key, request_id, 0)
+        record = self._add_record(key, request_id, 0)
         record.reserved_until_ms = 9e15
         return 0
 
@@ -109,14 +109,14 @@
 
 
 def fault_as_a_connection_ends(patch: Patch) -> None:
-    right = balancer_connection.BalancerConnection._closed
+    right = balancer_connection.BalancerConnection._on_close
 
     def wrong(self: balancer_connection.BalancerConnection, was_open: bool) -> None:
         if any(request.is_retry for request in self.open_requests.values()):
             raise KeyError("planted")
         right(self, was_open)
 
-    patch.setattr(balancer_connection.BalancerConnection, "_closed", wrong)
+    patch.setattr(balancer_connection.BalancerConnection, "_on_close", wrong)
 
 
 PLANTS: dict[str, Callable[[Patch], None]] = {
