--- a/spindlerelay/storage/disk.py
+++ b/spindlerelay/storage/disk.py
@@ -1,14 +1,16 @@
-"""Complete writes on a disk. The interface to a disk is ``spindlerelay.transport.disk``."""
+"""Writes that are repeated until all data is written. ``spindlerelay.transport.disk`` defines ``Disk``."""
 
 from __future__ import annotations
 
 from spindlerelay.transport.disk import Disk
 
-# Names that other packages still import from here.
-
 
 def write_all(disk: Disk, fd: int, data: bytes) -> None:
-    """Write ``data`` in as many writes as the disk needs; OSError with a part of it written."""
+    """Write all of ``data``, in as many calls as the disk needs.
+
+    Raises:
+        OSError: A write failed; a part of ``data`` may have been written.
+    """
     remaining = memoryview(data)
     while remaining:
         written = disk.write(fd, remaining)
--- a/spindlerelay/storage/idempotency_claims.py
+++ b/spindlerelay/storage/idempotency_claims.py
@@ -1,13 +1,13 @@
 """Claims on keyed requests that all processes of one node share: a request runs once across a handover.
 
-While an old and a new process serve one listening socket, attempts of one keyed request may come to either.
-Before an attempt runs, its key is claimed by a file that is created exclusively in a directory which both see
-(``$TMPDIR``, which a handover does not empty); the file's modification time is when the claim expires. The
-process that created the file runs the request; no other may run it, nor say that it never ran, until the
-claim expires.
-
-Must not know anything of requests beyond a key and a time. Times are Unix ms, as on the node's clock. Paths
-are strings, since a sweep goes over thousands of files.
+While an old and a new process accept from one listening socket, either process may receive an attempt of a
+keyed request. Before an attempt runs, the process claims its key: it creates a file exclusively in a
+directory that both processes share (in ``$TMPDIR``, which a handover does not empty). The file's modification
+time is the time at which the claim expires. The process that created the file runs the request. Until the
+claim expires, no other process may run the request or report that it never ran.
+
+This module knows only a request's key and a time. Times are Unix ms, as on the node's clock. Paths are
+strings rather than ``Path`` objects, since a sweep visits thousands of files.
 """
 
 # ruff: noqa: PTH103, PTH104, PTH108, PTH116, PTH118
@@ -18,32 +18,37 @@
 import hashlib
 import os
 
-PRIVATE_PREFIX = "of-"  # of files that are not a claim yet, or none any more, and belong to one process
+PRIVATE_PREFIX = "of-"  # marks a file of one process: a claim not yet published, or a claim being removed
 EXPIRED_SUFFIX = ".lapsed"
-ABANDONED_AFTER_MS = 60_000.0  # past its time, a private file is that of a killed process
-MAX_FILES = 50_000  # a rejected run is better than a full disk
+ABANDONED_AFTER_MS = 60_000.0  # a private file that expired this long ago was left by a killed process
+MAX_FILES = 50_000  # further claims are refused: rejecting a run is better than filling the disk
 KEY_DIGEST_BYTES = 16
 CLAIM_ATTEMPTS = 2
 
 
 class IdempotencyClaims:
-    """The directory of claims. A disk that fails counts as claimed: it forbids both a run and a rejection."""
+    """The directory of claims.
 
-    def __init__(self, folder: str) -> None:
-        self._directory = folder
-        os.makedirs(folder, mode=0o700, exist_ok=True)
-        self._private_path = os.path.join(folder, f"{PRIVATE_PREFIX}{os.getpid()}-{id(self):x}")
+    When the disk fails, a key counts as claimed by another process: this process then neither runs the
+    request nor reports that it never ran.
+    """
+
+    def __init__(self, directory: str) -> None:
+        self._directory = directory
+        os.makedirs(directory, mode=0o700, exist_ok=True)
+        self._private_path = os.path.join(directory, f"{PRIVATE_PREFIX}{os.getpid()}-{id(self):x}")
         self._expired_path = self._private_path + EXPIRED_SUFFIX
-        with contextlib.suppress(OSError):  # a killed process of our number may have linked it as its claim
+        # A killed process with the same PID may have left this file, linked as a claim.
+        with contextlib.suppress(OSError):
             os.unlink(self._private_path)
-        self._file_count = 0  # seen at the last sweep, and created since
+        self._file_count = 0  # files found by the last sweep, plus claims created since
 
     def claim(self, key: str, now_ms: float, expires_at_ms: float) -> bool:
         """Return whether this process may run the request: True once per key until the claim expires.
 
-        The file gets its time before it is linked to its name, and linking fails where the name is taken.
-        Were it created under its name first, another process could find it without a time in between and take
-        it for expired.
+        The file's modification time is set before the file is linked under the key's name, and linking fails
+        if the name exists. If the file were created under that name first, another process could see it
+        before its time is set and treat the claim as expired.
         """
         if self._file_count >= MAX_FILES:
             return False
@@ -58,7 +63,7 @@
                 os.unlink(self._private_path)
 
     def is_claimed(self, key: str, now_ms: float) -> bool:
-        """Return whether some process has a claim on the key, and may have run the request."""
+        """Return whether any process holds a claim on the key and may have run the request."""
         try:
             return _modified_ms(self._path(key)) >= now_ms
         except FileNotFoundError:
@@ -67,7 +72,7 @@
             return True
 
     def remove_expired(self, now_ms: float) -> None:
-        """Remove the claims that have expired, whichever process made them."""
+        """Remove all expired claims, including those of other processes."""
         count = 0
         with contextlib.suppress(OSError), os.scandir(self._directory) as entries:
             for entry in entries:
@@ -96,18 +101,19 @@
         return False
 
     def _remove_expired(self, path: str, now_ms: float) -> bool:
-        """Remove a claim that has expired; return whether it is gone.
+        """Remove a claim if it has expired; return whether the file no longer exists.
 
-        It is moved aside before it is judged, since another process may have put a new claim in its place.
+        The file is renamed before its time is checked again, since another process may have replaced the
+        expired claim by a new one. A new claim is linked back under its name.
         """
-        aside = self._expired_path
+        moved_path = self._expired_path
         try:
             if _modified_ms(path) >= now_ms:
                 return False
-            os.rename(path, aside)
-            if _modified_ms(aside) >= now_ms:
+            os.rename(path, moved_path)
+            if _modified_ms(moved_path) >= now_ms:
                 with contextlib.suppress(FileExistsError):
-                    os.link(aside, path)
+                    os.link(moved_path, path)
                 return False
         except FileNotFoundError:
             pass
@@ -115,7 +121,7 @@
             return False
         finally:
             with contextlib.suppress(OSError):
-                os.unlink(aside)
+                os.unlink(moved_path)
         return True
 
 
--- a/spindlerelay/storage/persistence.py
+++ b/spindlerelay/storage/persistence.py
@@ -1,10 +1,10 @@
-"""Persistence across restarts: the link between node, admission controller and journal, on the node's loop.
+"""Persistence across restarts: stores the keyed requests and the learned state of a node.
 
-The runs of a turn are recorded in one write at the end of its step, before their commands leave. Whatever the
-disk does, the node goes on serving: it logs the failure once and retries with a whole new snapshot, which
-holds everything that was missed.
+All runs that a step starts are recorded in one write at the end of the step, before their commands leave the
+process. The node goes on serving when the disk fails: it logs the failure once and retries with a complete
+new snapshot, which contains every record that was missed.
 
-Owns the schedule of writes and compactions. Must not know the layout of files.
+This module owns the schedule of writes and compactions. It does not know the layout of the files.
 """
 
 from __future__ import annotations
@@ -28,24 +28,30 @@
 LEARNED_STATE_INTERVAL_MS = 1000.0
 COMPACTION_STEP_INTERVAL_MS = 5.0
 RETRY_INTERVAL_MS = 2000.0
-DISCARD_TEXTS = {
-    DiscardReason.OTHER_SETTINGS: "of other settings or cores",
-    DiscardReason.TOO_OLD: "too old",
-    DiscardReason.FROM_THE_FUTURE: "from the future",
-    DiscardReason.MALFORMED: "without sense",
+DISCARD_REASON_TEXTS = {
+    DiscardReason.OTHER_SETTINGS: "it was learned under other settings or on another processor model",
+    DiscardReason.TOO_OLD: "it is too old",
+    DiscardReason.FROM_THE_FUTURE: "its time is in the future",
+    DiscardReason.MALFORMED: "its record is malformed",
 }
 
 
 class Options(NamedTuple):
-    """The operator's options."""
+    """The operator's options.
 
-    compact_bytes: int  # a smaller journal is not compacted
-    results_bytes: int  # the most that a snapshot holds of results
-    processor_model: str = ""  # of the processor
+    Attributes:
+        compact_bytes: minimum size of the journal for a compaction.
+        results_bytes: maximum total size of the results in a snapshot.
+        processor_model: model name of the processor, a part of the fingerprint.
+    """
+
+    compact_bytes: int
+    results_bytes: int
+    processor_model: str = ""
 
 
 class StoredRun(Protocol):
-    """A keyed request that has run."""
+    """A keyed request that has run, as the node's idempotency table holds it."""
 
     content_hash: int
     bound_until_ms: float
@@ -53,7 +59,7 @@
 
 
 class RunTable(Protocol):
-    """What is stored and restored of the node's idempotency table."""
+    """The operations on the node's idempotency table that storing and restoring need."""
 
     max_records: int
 
@@ -62,23 +68,23 @@
         ...
 
     def restore(self, key: str, content: int, bound_until: float, result: bytes | None) -> None:
-        """Take back a request that ran in an earlier process."""
+        """Add a request that ran in an earlier process."""
         ...
 
     def find_run(self, key: Any) -> StoredRun | None:
-        """Return the run under a key, None where there was none."""
+        """Return the run of a key, or None if the key has not run."""
         ...
 
 
 class Learner(Protocol):
-    """What is stored and restored of the admission controller."""
+    """The operations on the admission controller that storing and restoring need."""
 
     def learned_state(self) -> LearnedState:
-        """Return what may outlive the process."""
+        """Return the learned state to store."""
         ...
 
     def restore(self, learned: LearnedState) -> None:
-        """Take back what an earlier process learned."""
+        """Apply the learned state of an earlier process."""
         ...
 
 
@@ -86,11 +92,11 @@
     """Whether records reach the disk."""
 
     HEALTHY = "healthy"
-    FAILED = "failed"  # nothing is written until a compaction begins
-    RECOVERING = "recovering"  # records are written again; those missed will be in the snapshot
+    FAILED = "failed"  # no record is written until a compaction begins
+    RECOVERING = "recovering"  # records are written again; the snapshot in progress adds the missed records
 
 
-TRANSITIONS: dict[WriteState, frozenset[WriteState]] = {
+WRITE_STATE_TRANSITIONS: dict[WriteState, frozenset[WriteState]] = {
     WriteState.HEALTHY: frozenset({WriteState.FAILED}),
     WriteState.FAILED: frozenset({WriteState.RECOVERING}),
     WriteState.RECOVERING: frozenset({WriteState.HEALTHY, WriteState.FAILED}),
@@ -99,7 +105,7 @@
 
 @contextlib.contextmanager
 def garbage_collection_disabled() -> Iterator[None]:
-    """Suspend the cyclic garbage collector, for work that creates many objects and drops few."""
+    """Suspend the cyclic garbage collector during work that allocates many objects and frees few."""
     gc.disable()
     try:
         yield
@@ -108,10 +114,13 @@
 
 
 class PersistenceFeature:
-    """A feature of the service, and the node's recorder of keyed runs.
+    """A feature of the service that records keyed runs and the learned state, and restores them.
 
-    Construction restores what earlier processes left; UnusableError or OSError where the directory cannot be
-    used.
+    Construction restores the state that earlier processes stored.
+
+    Raises:
+        UnusableStorageError: The files belong to another node or a newer version.
+        OSError: The directory cannot be read.
     """
 
     def __init__(
@@ -131,10 +140,10 @@
         self.learner = learner
         self.fingerprint = settings_fingerprint.fingerprint(settings, options.processor_model)
         self.write_state = WriteState.HEALTHY
-        self.missed_records = 0  # since the first failed write
+        self.missed_records = 0  # records not written since the first failed write
         self._runs: list[list[Any]] = []
         self._results: list[list[Any]] = []
-        self._voids: list[str] = []
+        self._voided_keys: list[str] = []
         self._learned_record: dict[str, Any] | None = None
         self._compaction_steps: Iterator[None] | None = None
         self._snapshot_bytes = 0
@@ -144,10 +153,10 @@
         self._begin_journal()
         loop.call_later(LEARNED_STATE_INTERVAL_MS, self._record_learned_state_periodically)
 
-    # Recorder of the node
+    # Called by the node
 
     def record_run(self, key: str, content_hash: int, bound_until_ms: float) -> None:
-        """Record that a run starts, and binds its key until a time in Unix ms."""
+        """Record that a run starts; its key stays bound to it until ``bound_until_ms`` in Unix ms."""
         self._runs.append([key, content_hash, bound_until_ms])
 
     def record_result(self, key: str, result: bytes) -> None:
@@ -156,11 +165,11 @@
 
     def revoke_run(self, key: str) -> None:
         """Record that a run never happened."""
-        self._voids.append(key)
+        self._voided_keys.append(key)
 
     def commit(self) -> None:
-        """Write all that a step has recorded, before any of its commands leaves the process."""
-        if not (self._runs or self._results or self._voids):
+        """Write all records of a step, before any command of the step leaves the process."""
+        if not (self._runs or self._results or self._voided_keys):
             return
         sync = bool(self._runs)
         entries = list[tuple[int, Any]]()
@@ -168,23 +177,23 @@
             entries.append((RecordKind.RUNS_STARTED, self._runs))
         if self._results:
             entries.append((RecordKind.RESULTS, self._results))
-        if self._voids:
-            entries.append((RecordKind.RUNS_VOIDED, self._voids))
+        if self._voided_keys:
+            entries.append((RecordKind.RUNS_VOIDED, self._voided_keys))
         self._append(entries, sync)
         self._runs = []
         self._results = []
-        self._voids = []
+        self._voided_keys = []
 
-    # Feature of the service
+    # Called by the service
 
     def start_shutdown(self) -> None:
-        """Go on: runs continue while the node drains, and are recorded."""
+        """Do nothing: runs continue while the node drains, and are recorded."""
 
     def reload(self) -> None:
-        """Go on with the same directory and options until the process ends."""
+        """Do nothing: the directory and the options stay the same until the process ends."""
 
     def close(self) -> None:
-        """Write what is left and release the directory."""
+        """Write the remaining records and the learned state, and release the directory."""
         self.commit()
         self._record_learned_state()
         self.directory.close()
@@ -202,8 +211,10 @@
         for key, request in newest:
             self.run_table.restore(key, request.content_hash, request.bound_until_ms, request.result)
         results = sum(request.result is not None for _, request in newest)
-        place = self.directory.path
-        logger.info("storage: {} orders bound, {} with a result, from {}", len(newest), results, place)
+        path = self.directory.path
+        logger.info(
+            "storage: {} keyed requests restored, {} with a result, from {}", len(newest), results, path
+        )
         self._log_recovery(report, beyond_window)
         self._restore_learned_state(state.learned_record, now_ms)
 
@@ -212,28 +223,29 @@
         if report.torn_bytes:
             logger.warning("storage: torn record at the end of a file: {} bytes ignored", report.torn_bytes)
         if unreadable:
-            logger.error("storage: {} damaged records ignored", unreadable)
+            logger.error("storage: {} damaged or malformed records ignored", unreadable)
         if report.migrated_files:
             logger.info("storage: {} files of an older layout migrated", report.migrated_files)
         if beyond_window:
             logger.warning(
-                "storage: the clock has gone back: {} bindings cut to one window from now", beyond_window
+                "storage: the clock was set back: {} keys stay bound for one idempotency window from now",
+                beyond_window,
             )
 
     def _restore_learned_state(self, record: dict[str, Any] | None, now_ms: float) -> None:
         if record is None or self.learner is None:
             return
-        class_width = len(self.learner.learned_state().class_statistics[0])
+        statistics_per_class = len(self.learner.learned_state().class_statistics[0])
         restored = learned_state_decay.from_record(
-            record, now_ms, self.fingerprint, self.settings, class_width
+            record, now_ms, self.fingerprint, self.settings, statistics_per_class
         )
         if isinstance(restored, DiscardReason):
-            logger.info("storage: learned state discarded, {}: cold start", DISCARD_TEXTS[restored])
+            logger.info("storage: learned state discarded, {}: cold start", DISCARD_REASON_TEXTS[restored])
             return
         self.learner.restore(restored)
         self._learned_record = record
         age_s = learned_state_decay.age_ms(record, now_ms) / 1000.0
-        logger.info("storage: learned state of {:.0f} s ago restored", age_s)
+        logger.info("storage: learned state restored, {:.0f} s old", age_s)
 
     def _begin_journal(self) -> None:
         try:
@@ -257,22 +269,22 @@
             self._begin_compaction()
 
     def _on_failure(self, error: OSError) -> None:
-        """Serve on; until a snapshot succeeds, no binding outlives the process."""
+        """Stop writing and schedule a compaction; until it completes, the missed runs are not stored."""
         if self.write_state is WriteState.HEALTHY:
             logger.error("storage: write failed, the node goes on serving: {}", error.strerror)
-        self._enter(WriteState.FAILED)
+        self._transition_to(WriteState.FAILED)
         self._compaction_steps = None
         self.loop.call_later(RETRY_INTERVAL_MS, self._begin_compaction)
 
-    def _enter(self, state: WriteState) -> None:
-        """Change the state; nothing happens where the current one has no such transition."""
-        if state in TRANSITIONS[self.write_state]:
-            self.write_state = state
+    def _transition_to(self, new_state: WriteState) -> None:
+        """Change the write state; a transition that the current state does not allow is ignored."""
+        if new_state in WRITE_STATE_TRANSITIONS[self.write_state]:
+            self.write_state = new_state
 
-    # Compaction, one step per timer
+    # Compaction, one step per timer call
 
     def _begin_compaction(self) -> None:
-        """Begin a compaction; from its first step on, with its new journal, records are written again."""
+        """Begin a compaction; its first step opens a new journal, to which records are written again."""
         if self._compaction_steps is not None:
             return
         snapshot = journal_directory.snapshot_records(
@@ -284,13 +296,13 @@
         self._compaction_steps = self.directory.compact(snapshot, self.loop.now())
         try:
             next(self._compaction_steps)
-            self._enter(WriteState.RECOVERING)
+            self._transition_to(WriteState.RECOVERING)
             self.loop.call_later(COMPACTION_STEP_INTERVAL_MS, self._continue_compaction)
         except OSError as error:
             self._on_failure(error)
 
     def _continue_compaction(self) -> None:
-        if self._compaction_steps is None:  # a write has failed meanwhile
+        if self._compaction_steps is None:  # a write has failed since the last step and ended the compaction
             return
         try:
             next(self._compaction_steps)
@@ -304,15 +316,16 @@
         self._compaction_steps = None
         if self.write_state is WriteState.RECOVERING:
             logger.info(
-                "storage: writes succeed again, the snapshot holds {} missed records", self.missed_records
+                "storage: writes succeed again, the snapshot contains {} missed records", self.missed_records
             )
-        self._enter(WriteState.HEALTHY)
+        self._transition_to(WriteState.HEALTHY)
         self.missed_records = 0
         with contextlib.suppress(OSError):
             self._snapshot_bytes = self.directory.total_bytes() - self.directory.journal_bytes
 
     def _completed_request(self, key: Hashable) -> CompletedRequest | None:
-        run = self.run_table.find_run(key) if isinstance(key, str) else None  # other keys only share results
+        # Keys that are not strings only share results; they bind no run.
+        run = self.run_table.find_run(key) if isinstance(key, str) else None
         if run is None or run.bound_until_ms + GRACE_MS <= self.loop.now():
             return None
         return CompletedRequest(run.content_hash, run.bound_until_ms, run.result)
--- a/spindlerelay/storage/records.py
+++ b/spindlerelay/storage/records.py
@@ -1,8 +1,8 @@
-"""Codec of the files that survive a restart. Pure; docs/storage-design.md has the layout.
+"""Codec of journals and snapshots. Pure; docs/storage-design.md describes the layout.
 
-A file is a header and records. A record's checksum covers the file's generation and the record's offset, so
-that old blocks of a disk are not taken for new ones. A damaged file never raises: the result reports what is
-wrong with it. Files that must not be used at all raise an error.
+A file consists of a header and records. The checksum of a record also covers the file's generation and the
+record's offset, so that stale disk blocks are not read as current records. Decoding a damaged file raises no
+error: the result counts the damage. Files that this node must not use raise UnusableStorageError.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from spindlerelay.errors import SpindlerelayError
 
 MAGIC = b"SPRY"
-LAYOUT_VERSION = 2  # runs of version 1 have no content hash
+LAYOUT_VERSION = 2  # layout 1 stores runs without a content hash
 NODE_ID_BYTES = 8
 HEADER_LAYOUT = struct.Struct("<4sHBx8sQdI")  # magic, version, kind, node, generation, created at, checksum
 RECORD_HEAD_LAYOUT = struct.Struct("<IB")  # length of the payload, kind
@@ -28,24 +28,24 @@
 
 
 class FileKind(IntEnum):
-    """What a file holds; the values are stored."""
+    """Whether a file is a journal or a snapshot; the values are stored."""
 
     JOURNAL = 1
     SNAPSHOT = 2
 
 
 class RecordKind(IntEnum):
-    """What a record says; the values are stored."""
+    """Type of a record; the values are stored."""
 
-    RUNS_STARTED = 1  # a list of [key, content hash, bound until]
-    RESULTS = 2  # a list of [key, result]
-    RUNS_VOIDED = 3  # a list of keys whose runs never happened
-    LEARNED_STATE = 4  # a map, see learned_state_decay
-    SNAPSHOT_END = 5  # the number of keys
+    RUNS_STARTED = 1  # body: a list of [key, content hash, end of the binding in Unix ms]
+    RESULTS = 2  # body: a list of [key, result]
+    RUNS_VOIDED = 3  # body: a list of keys whose runs never happened
+    LEARNED_STATE = 4  # body: a map, see learned_state_decay
+    SNAPSHOT_END = 5  # body: the number of keys in the snapshot
 
 
 class UnusableStorageError(SpindlerelayError):
-    """A file or directory that this node must neither read nor overwrite; the text ends in the remedy."""
+    """A file or directory that this node must neither read nor overwrite; the message ends with a remedy."""
 
     def __init__(self, problem: str, remedy: str, path: str = "", separator: str = ": ") -> None:
         self.problem = problem
@@ -56,7 +56,7 @@
 
 
 class Header(NamedTuple):
-    """The header of a file; ``created_at_ms`` is Unix time."""
+    """The header of a file; ``created_at_ms`` is in Unix ms."""
 
     version: int
     kind: int
@@ -65,24 +65,33 @@
 
 
 class Record(NamedTuple):
-    """A record as it was read: neither its kind nor the shape of its body is checked."""
+    """A record as read; neither its kind nor the shape of its body has been checked."""
 
     kind: int
     body: Any
 
 
 class FileContents(NamedTuple):
-    """What a file holds, and what is wrong with it."""
+    """The intact records of a file, and its damage.
+
+    Attributes:
+        header: header of the file, None if it is torn or damaged.
+        records: intact records, in the order of the file.
+        damaged_records: number of records with a wrong checksum or an undecodable body, a torn last record
+            excepted.
+        torn_bytes: bytes of a last record whose write was not completed.
+        is_complete: whether the end record of a snapshot was read.
+    """
 
-    header: Header | None  # None where the header is torn or damaged
+    header: Header | None
     records: list[Record]
-    damaged_records: int = 0  # records with a wrong checksum that others follow
-    torn_bytes: int = 0  # bytes of a last record that was not completed
-    is_complete: bool = False  # the end record of a snapshot was read
+    damaged_records: int = 0
+    torn_bytes: int = 0
+    is_complete: bool = False
 
 
 def node_id(name: str) -> bytes:
-    """Return the identity that a node's name has in its files."""
+    """Return the hash of a node's name that identifies the node in its files."""
     return blake2b(name.encode(), digest_size=NODE_ID_BYTES).digest()
 
 
@@ -94,7 +103,7 @@
 
 
 def encode_record(kind: RecordKind | int, body: Any, generation: int, offset: int) -> bytes:
-    """Return a record as it is stored at ``offset`` of the file of that generation."""
+    """Return the bytes of a record at ``offset`` in a file of this generation."""
     payload: bytes = msgpack.packb(body)
     framed = RECORD_HEAD_LAYOUT.pack(len(payload), kind) + payload
     position_checksum = zlib.crc32(POSITION_LAYOUT.pack(generation, offset))
@@ -102,9 +111,10 @@
 
 
 def decode_header(data: bytes, name: str) -> Header | None:
-    """Return the header, None where it is torn or damaged.
+    """Return the header, or None if it is torn or damaged.
 
-    UnusableError where a newer version or another node wrote it.
+    Raises:
+        UnusableStorageError: A newer version or another node wrote the file.
     """
     if len(data) < HEADER_LAYOUT.size or not data.startswith(MAGIC):
         return None
@@ -117,15 +127,15 @@
             "start that version, or move the folder away",
         )
     if node != node_id(name):
-        raise UnusableStorageError("of another node", "give each node a folder of its own")
+        raise UnusableStorageError("written by another node", "give each node a folder of its own")
     return Header(version, kind, generation, created_at_ms)
 
 
 def decode_file(data: bytes, name: str) -> FileContents:
     """Return all intact records of a file.
 
-    A damaged record is skipped where its length leads to another one. The loop calls no functions of this
-    module, as it runs over every record before the node starts.
+    A damaged record is skipped if its length field leads to a following record. The loop calls no functions
+    of this module, because it decodes every record before the node starts.
     """
     header = decode_header(data, name)
     if header is None:
@@ -147,11 +157,11 @@
         body_end = body_start + length
         record_end = body_end + CHECKSUM_LAYOUT.size
         if length > MAX_PAYLOAD_BYTES or record_end > file_end:
-            break  # nothing behind can be trusted
+            break  # without a valid length the next record cannot be located
         expected = crc(view[start:body_end], crc(POSITION_LAYOUT.pack(generation, start)))
         if expected != CHECKSUM_LAYOUT.unpack_from(data, body_end)[0]:
             if record_end == file_end:
-                break  # its write was not completed; a record that others follow is damaged
+                break  # a bad last record is torn: its write was not completed
             damaged += 1
         elif kind == end_kind:
             return FileContents(header, records, damaged, is_complete=True)
--- a/spindlerelay/storage/replayed_state.py
+++ b/spindlerelay/storage/replayed_state.py
@@ -1,7 +1,8 @@
-"""The state that records add up to: keyed requests that ran, and what was learned. Pure; times are Unix ms.
+"""The state that results from replaying records: keyed requests that ran, and the learned state. Pure.
 
-A run binds its key until a time. Its result may be known or not: without one its outcome is unknown, and a
-retry fails. Records are idempotent, as a snapshot may repeat what the journal after it says.
+A key stays bound to its run until a given time: until then the request must not run again. If the result of
+the run is not stored, its outcome is unknown, and a retry fails. Records are idempotent, since a snapshot may
+already contain changes that the following journal repeats. Times are Unix ms.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 
 from spindlerelay.storage.records import Record, RecordKind
 
-GRACE_MS = 5000.0  # after its window, as a request may be read late
-UNKNOWN_CONTENT = 0  # of runs in layout 1: matches any content
-FIELDS_OF_A_RUN = 3  # layout 1 has no content hash
+GRACE_MS = 5000.0  # keys stay bound this long after their window, since a retry may be read late
+UNKNOWN_CONTENT = 0  # content hash for runs stored in layout 1: matches any content
+RUN_FIELD_COUNT = 3  # layout 1 has two fields: it lacks the content hash
 
 
 @dataclass(slots=True, eq=False)
 class CompletedRequest:
-    """A keyed request that ran. ``result`` is None where it is not known."""
+    """A keyed request that ran; ``result`` is None if it was not stored."""
 
     content_hash: int
     bound_until_ms: float
@@ -27,12 +28,12 @@
 
 
 class ReplayedState:
-    """The sum of records, in their order."""
+    """The state after applying records in their order."""
 
     def __init__(self) -> None:
         self.completed_requests: dict[str, CompletedRequest] = {}
         self.learned_record: dict[str, Any] | None = None
-        self.malformed_records = 0  # of an unknown kind or shape
+        self.malformed_records = 0  # records of an unknown kind or shape
 
     def add(self, record: Record) -> None:
         """Apply one record; a malformed one is counted and skipped."""
@@ -46,10 +47,11 @@
             self.malformed_records += 1
 
     def bound_requests(self, now_ms: float, max_binding_ms: float) -> tuple[dict[str, CompletedRequest], int]:
-        """Return the requests that are still bound, and how many of them were bound impossibly long.
+        """Return the requests whose keys are still bound, and the number of bindings that were too long.
 
-        The limit is the longest window of any class, in ms. A binding beyond it means that the clock has gone
-        back; it is cut to one whole window from now, since nobody can tell how much of it is left.
+        ``max_binding_ms`` is the longest time for which any class binds a key. A binding that ends later
+        means that the clock was set back. Its true remaining time is unknown, so it is cut to
+        ``max_binding_ms`` from now.
         """
         beyond_window = 0
         latest_ms = now_ms + max_binding_ms
@@ -65,14 +67,14 @@
 
     def _apply_runs(self, body: Any) -> None:
         for run in body:
-            has_content = len(run) == FIELDS_OF_A_RUN
-            key, content, until = run if has_content else (run[0], UNKNOWN_CONTENT, run[1])
-            known = self.completed_requests.get(key)
-            if known is None:
-                self.completed_requests[key] = CompletedRequest(int(content), float(until))
+            has_content = len(run) == RUN_FIELD_COUNT
+            key, content, until_ms = run if has_content else (run[0], UNKNOWN_CONTENT, run[1])
+            request = self.completed_requests.get(key)
+            if request is None:
+                self.completed_requests[key] = CompletedRequest(int(content), float(until_ms))
             else:
-                known.content_hash = int(content)
-                known.bound_until_ms = max(known.bound_until_ms, float(until))
+                request.content_hash = int(content)
+                request.bound_until_ms = max(request.bound_until_ms, float(until_ms))
 
     def _apply_results(self, body: Any) -> None:
         for key, result in body:
@@ -86,7 +88,7 @@
 
     def _apply_learned_state(self, body: Any) -> None:
         if not isinstance(body, dict):
-            raise TypeError("a learned state is a map")
+            raise TypeError("a learned state must be a map")
         self.learned_record = body
 
 
--- a/spindlerelay/storage/settings_fingerprint.py
+++ b/spindlerelay/storage/settings_fingerprint.py
@@ -1,7 +1,8 @@
-"""Fingerprint of the settings that a learned state belongs to. Pure.
+"""Fingerprint of the settings under which a state was learned. Pure.
 
-The fingerprint is stored, and hashes the text that the first version made of its settings. The names in
-that text are part of the stored format: this module keeps them, whatever the fields are called today.
+The fingerprint is stored with the learned state. It is the hash of a textual form of the settings that uses
+the field names of the first version. Those names are part of the stored format; this module maps today's
+fields and enum members to them.
 """
 
 from __future__ import annotations
@@ -79,17 +80,19 @@
 }
 
 
-def fingerprint(settings: Settings, model: str) -> str:
-    """Return the hex digest of the settings and of the processor ``model`` that a state was learned on."""
-    return blake2b(f"{_stored_text(settings)} {model}".encode(), digest_size=DIGEST_BYTES).hexdigest()
+def fingerprint(settings: Settings, processor_model: str) -> str:
+    """Return the hex digest of the settings and the processor's model name."""
+    return blake2b(
+        f"{_stored_text(settings)} {processor_model}".encode(), digest_size=DIGEST_BYTES
+    ).hexdigest()
 
 
 def _stored_text(value: Any) -> str:
     if isinstance(value, Settings):
         values = [getattr(value, field.name) for field in dataclasses.fields(value)]
-        return _named("Settings", STORED_FIELDS, values)
+        return _format_record("Settings", STORED_FIELDS, values)
     if isinstance(value, ClassSettings):
-        return _named("ClassSettings", STORED_CLASS_FIELDS, list(value))
+        return _format_record("ClassSettings", STORED_CLASS_FIELDS, list(value))
     if isinstance(value, Enum):
         return f"<{STORED_MEMBERS[value]}: {value.value!r}>"
     if isinstance(value, tuple):
@@ -98,6 +101,6 @@
     return repr(value)
 
 
-def _named(name: str, fields: tuple[str, ...], values: list[Any]) -> str:
-    pairs = (f"{field}={_stored_text(value)}" for field, value in zip(fields, values, strict=True))
-    return f"{name}({', '.join(pairs)})"
+def _format_record(name: str, fields: tuple[str, ...], values: list[Any]) -> str:
+    assignments = (f"{field}={_stored_text(value)}" for field, value in zip(fields, values, strict=True))
+    return f"{name}({', '.join(assignments)})"
