--- a/spindlerelay/process/__init__.py
+++ b/spindlerelay/process/__init__.py
@@ -1,1 +1,1 @@
-"""The render node as a process: configuration, signals, log and the operator's features."""
+"""The render node as a process: configuration, signals, logging and optional features."""
--- a/spindlerelay/process/logging.py
+++ b/spindlerelay/process/logging.py
@@ -1,4 +1,4 @@
-"""The process's log, on standard error. Imports nothing of the node."""
+"""Logging to standard error. Imports no other module of the node."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def log_to_stderr(log_format: str = "text", level: str = "INFO") -> None:
-    """Send all log lines of this level and above to standard error.
+    """Write log lines of this level and above to standard error.
 
-    ``form`` is ``text``, or ``json`` for one object a line.
+    ``log_format`` is ``text``, or ``json`` for one object per line.
     """
     logger.remove()
     logger.add(
--- a/spindlerelay/process/operator_features.py
+++ b/spindlerelay/process/operator_features.py
@@ -1,6 +1,6 @@
-"""A node with the features of the operator's file: what ``spindlerelay run`` starts, and the testbed, too.
+"""A node with the optional features of the operator's file, as ``spindlerelay run`` and the testbed start it.
 
-One function enables each feature and imports it only there: a feature that is off is not loaded.
+Each feature is enabled by one function that also imports it, so that a feature that is off is not loaded.
 """
 
 from __future__ import annotations
@@ -31,18 +31,24 @@
 EXIT_INVALID_CONFIGURATION = 2
 BYTES_PER_MB = 1_000_000
 CPU_INFO_PATH = "/proc/cpuinfo"
-MEMBERS_PATH = "/control/members"  # at the management address
+MEMBERS_PATH = "/control/members"  # path at the management address
 
 
 class FeatureContext(NamedTuple):
-    """What each feature is built of."""
+    """The objects that features are built from.
+
+    Attributes:
+        service: the process's service.
+        config: the platform's configuration.
+        path: path of the operator's file, for error texts.
+    """
 
     service: Service
     config: Config
-    path: str  # of the operator's file, for the texts of errors
+    path: str
 
     def error(self, key: str, text: str) -> ConfigError:
-        """Return an error that names the operator's file and the key at fault."""
+        """Return an error that names the operator's file and the invalid key."""
         return ConfigError(f"{self.path}: {key}: {text}")
 
 
@@ -52,12 +58,16 @@
     make_call_scheduler: Callable[[RoutingTable, Settings, int], SchedulerProtocol] | None = None,
     make_controller: Callable[[Settings, int], AdmissionPolicy] | None = None,
 ) -> int:
-    """Run one node to its end, and return the exit status.
+    """Run one node until it shuts down, and return the exit status.
 
-    That is 0 after an orderly end, and 2 for invalid files, with a line on standard error for each fault.
-    Without an operator's file every feature is off. ``log_format``, ``text`` or ``json``, overrides the entry
-    of the file. The last two make what schedules dependency calls and what admits requests, in place of the
-    product's own.
+    The status is 0 after an orderly shutdown and 2 for invalid files; each error is printed as one line on
+    standard error.
+
+    Args:
+        operator_path: the operator's file; without it every optional feature is off.
+        log_format: ``text`` or ``json``; overrides the entry of the operator's file.
+        make_call_scheduler: creates a substitute for the scheduler of dependency calls.
+        make_controller: creates a substitute for the admission controller.
     """
     block_signals()
     try:
@@ -89,7 +99,7 @@
     """Enable the features of the operator's file.
 
     Raises:
-        ConfigError: A feature cannot be enabled; the text names the key of the file.
+        ConfigError: A feature cannot be enabled; the text names the invalid key of the file.
     """
     context = FeatureContext(service, config, operator_path)
     if options.dependency:
@@ -104,14 +114,14 @@
 
 
 def without_dependency_limits(settings: Settings) -> Settings:
-    """Return the settings by which the admission controller bounds no calls: the dependencies have limits."""
+    """Return settings without the admission controller's limit on calls, as each dependency has its own."""
     return dataclasses.replace(
         settings, dependency_topology=DependencyTopology.NONE, dependency_call_budget=0.0
     )
 
 
 class DependenciesFeature:
-    """The operator's dependencies as a feature of the service: SIGHUP reloads their table."""
+    """The operator's dependencies as a feature of the service; SIGHUP reloads their table."""
 
     def __init__(self, pool: ConnectionPool, path: str, settings: Settings) -> None:
         self._pool = pool
@@ -119,37 +129,41 @@
         self._settings = settings
 
     def start_shutdown(self) -> None:
-        """Do nothing: calls go on through the drain, as the runs that wait for them do."""
+        """Do nothing: runs continue during the drain, and so do the calls that they wait for."""
 
     def close(self) -> None:
-        """Do nothing: the links end with the process."""
+        """Do nothing: the connections are closed when the process ends."""
 
     def reload(self) -> None:
-        """Read the table again; if the file is invalid the old one stays."""
+        """Read the table again; if the file is invalid, the current table stays in use."""
         try:
             options = operators.read_operator_file(self._path)
             operators.check_node(self._path, options, self._settings)
             if not options.dependency:
-                raise operators.OperatorError([f"{self._path}: dependency: to take out all needs a restart"])
+                raise operators.OperatorError(
+                    [f"{self._path}: dependency: removing all dependencies needs a restart"]
+                )
         except ConfigError as error:
-            faults = "; ".join(str(error).splitlines())
-            logger.error("dependencies not applied, the old table stays: {}", faults)
+            errors = "; ".join(str(error).splitlines())
+            logger.error("dependencies not applied, the previous table stays in use: {}", errors)
             return
         self._pool.reload(options.routing_table())
-        logger.info("dependencies reloaded: {}", ", ".join(each.name for each in options.dependency))
+        logger.info(
+            "dependencies reloaded: {}", ", ".join(dependency.name for dependency in options.dependency)
+        )
 
 
 def _enable_dependencies(
     context: FeatureContext,
     options: operators.OperatorConfig,
-    decider: Callable[[RoutingTable, Settings, int], SchedulerProtocol] | None,
+    make_call_scheduler: Callable[[RoutingTable, Settings, int], SchedulerProtocol] | None,
 ) -> None:
-    """Send all calls by the operator's table; the platform's one store gets none."""
+    """Route all calls by the operator's table; the store of the platform's configuration is not called."""
     from spindlerelay.dependencies.call_scheduler import CallScheduler
     from spindlerelay.dependencies.connection_pool import ConnectionPool
 
     service, config, path = context
-    scheduler = (decider or CallScheduler)(options.routing_table(), config.settings, config.seed)
+    scheduler = (make_call_scheduler or CallScheduler)(options.routing_table(), config.settings, config.seed)
     pool = ConnectionPool(
         service.loop, scheduler, config.settings, service.node.runs.on_reply, options.metrics.every
     )
@@ -174,14 +188,14 @@
 
 
 def _enable_storage(context: FeatureContext, table: operators.StorageTable) -> None:
-    """Store what outlives the process, and apply what earlier processes of this node stored."""
+    """Store keyed requests and learned state, and restore those of earlier processes of this node."""
     from spindlerelay.storage.journal_directory import JournalDirectory
     from spindlerelay.storage.persistence import Options, PersistenceFeature
     from spindlerelay.storage.records import UnusableStorageError
 
     service, config, _ = context
     options = Options(
-        int(table.compact_mb * BYTES_PER_MB), int(table.results_mb * BYTES_PER_MB), core_model()
+        int(table.compact_mb * BYTES_PER_MB), int(table.results_mb * BYTES_PER_MB), processor_model()
     )
     controller = service.node.admission
     try:
@@ -202,8 +216,8 @@
     service.features.append(persistence)
 
 
-def core_model() -> str:
-    """Return the model of the machine's cores as the system names it, empty where it does not."""
+def processor_model() -> str:
+    """Return the processor's model name as the kernel reports it, or an empty string."""
     with (
         contextlib.suppress(OSError),
         Path(CPU_INFO_PATH).open(encoding="utf-8", errors="replace") as file,
@@ -215,13 +229,13 @@
 
 
 def _enable_membership(context: FeatureContext, table: operators.MembershipTable) -> Callable[[], float]:
-    """Exchange gossip with other nodes; return a function that gives the weight this node requests."""
+    """Exchange gossip with other nodes; return a function that returns the weight this node requests."""
     from spindlerelay import __version__
     from spindlerelay.membership.udp_transport import GossipTransport, Options
 
     service, config, _ = context
     if not config.name:
-        raise context.error("membership", "the node has no name; the platform's file gives it")
+        raise context.error("membership", "the node has no name; set name in the platform's file")
     options = Options(
         table.listen,
         table.advertise or table.listen,
@@ -252,13 +266,13 @@
 def _enable_consul(
     context: FeatureContext, table: operators.ConsulTable, own_weight: Callable[[], float] | None
 ) -> None:
-    """Register the node with a Consul agent; ``own_weight`` gives its weight, 1 being an average node's."""
+    """Register the node with a Consul agent; ``own_weight`` returns its weight, 1 for an average node."""
     from spindlerelay.consul.agent_client import AgentClient, Options, TokenError
 
     service, config, _ = context
     service_id = table.id or config.name
     if not service_id:
-        raise ConfigError("consul.id: missing, and the node has no name to take instead")
+        raise ConfigError("consul.id: missing, and the node has no name to use instead; set one of them")
     options = Options(
         table.address,
         table.service,
--- a/spindlerelay/process/service.py
+++ b/spindlerelay/process/service.py
@@ -1,7 +1,7 @@
-"""The render node as a process: a node under a configuration that may be reloaded.
+"""The render node as a process: a node with a configuration that may be reloaded.
 
-Owns the loop, the node, its front ends and the operator's features. What a feature is, it does not know; the
-platform's start loads none.
+``Service`` owns the event loop, the node, its front ends and the optional features. It knows features only by
+the ``Feature`` protocol; the platform's start loads none.
 """
 
 from __future__ import annotations
@@ -32,29 +32,37 @@
 if TYPE_CHECKING:
     from spindlerelay.frontends.management_server import ManagementServer
 
-MAX_HANDOVER_WAIT_MS = 3000.0  # the platform waits for the longest deadline, but no more than this
-HANDOVER_MARGIN_MS = 700.0  # and so much after it, before the old process is killed
+# After a handover the platform waits for the longest deadline, at most MAX_HANDOVER_WAIT_MS, and another
+# HANDOVER_MARGIN_MS before it kills the old process.
+MAX_HANDOVER_WAIT_MS = 3000.0
+HANDOVER_MARGIN_MS = 700.0
 CLAIMS_DIRECTORY_PREFIX = "spindlerelay-claims-"
 
 
 class Feature(Protocol):
-    """Something that the operator has switched on, beside the node."""
+    """An optional part of the process that the operator has enabled."""
 
     def start_shutdown(self) -> None:
-        """Note that the process shuts down; called before the node drains."""
+        """Prepare for the shutdown; called before the node drains."""
         ...
 
     def reload(self) -> None:
-        """Read its files again, at SIGHUP."""
+        """Read the feature's files again; called at SIGHUP."""
         ...
 
     def close(self) -> None:
-        """Close what it holds, as the process ends."""
+        """Release the feature's resources; called when the process ends."""
         ...
 
 
 class ConfigEntry(NamedTuple):
-    """An entry of the platform's file, for log lines on what a reload changed."""
+    """An entry of the platform's file, for the log line about the changes of a reload.
+
+    Attributes:
+        key: key of the entry in the file.
+        value: returns the entry's value in a configuration.
+        reloadable: whether a reload applies a change without a restart.
+    """
 
     key: str
     value: Callable[[Config], object]
@@ -77,7 +85,7 @@
 
 
 def _describe_changes(old: Config, new: Config) -> list[str]:
-    """Return a text for each entry that differs; the settings are described by themselves."""
+    """Return a text for each entry that differs; changes of the settings are described separately."""
     changes = []
     for key, value, reloadable in CONFIG_ENTRIES:
         new_value = value(new)
@@ -95,16 +103,17 @@
 
 
 class Service:
-    """The node under a configuration that may be replaced while it runs.
+    """The node with a configuration that may be replaced while it runs.
 
     Args:
-        config: The platform's configuration.
-        override_settings: Returns the settings that the admission controller gets, where a feature takes
-            over a part of its work.
-        module: Makes the admission controller of its settings and a seed.
-        system: Clock, sockets and disk. On the machine's own, signals are handled; on another the simulation
-            calls ``shut_down`` and ``reload_configuration``.
-        environ: Where a reload finds the configuration; the process's own environment by default.
+        config: the platform's configuration.
+        override_settings: returns the settings for the admission controller, if a feature takes over a part
+            of its work.
+        make_controller: creates the admission controller from its settings and a seed.
+        system: clock, sockets and disk. Signals are handled only on the host system; on a simulated system
+            the simulation calls ``shut_down`` and ``reload_configuration``.
+        environ: environment variables from which a reload finds the configuration; by default those of the
+            process.
     """
 
     def __init__(
@@ -127,8 +136,8 @@
         )
         self.node.add_frontend(self.balancer_server)
         if config.accept_fd is not None:
-            # Processes of one node share the socket, and $TMPDIR with it: keyed requests are claimed there.
-            # The platform's start does not load pathlib.
+            # The processes of one node share the listening socket and $TMPDIR, where they claim keyed
+            # requests. os.path is used because the platform's start does not load pathlib.
             name = f"{CLAIMS_DIRECTORY_PREFIX}{config.name}"
             directory = os.path.join(tempfile.gettempdir(), name)  # noqa: PTH118
             self.node.set_claims(IdempotencyClaims(directory))
@@ -147,7 +156,7 @@
     def _start_management_server(self) -> ManagementServer | None:
         if self.config.management is None:
             return None
-        # Imported here, as httptools is loaded only where the address is configured.
+        # Imported here, so that httptools is loaded only if a management address is configured.
         from spindlerelay.frontends.management_server import ManagementServer
 
         return ManagementServer(self.loop, self.config.management, self.node.ready, self._render_counters)
@@ -159,61 +168,64 @@
         return self.node.metrics.lines(self.node.outstanding(), self.loop.internal_errors.counts)
 
     def shut_down(self) -> None:
-        """Carry out SIGTERM: the features hear of it before the drain begins."""
+        """Shut down, as SIGTERM requests: notify the features, then drain the node."""
         for feature in self.features:
             feature.start_shutdown()
         if self.config.accept_fd is None:
             self.node.drain(self.config.stop_ms)
             return
-        # The platform holds the listening socket: SIGTERM means that a newer process has taken over, and the
-        # kill follows the longest deadline and HANDOVER_MARGIN_MS, whatever stop_ms says.
-        longest_ms = max(spec.deadline_ms for spec in self.config.settings.classes)
-        wait_ms = min(MAX_HANDOVER_WAIT_MS, longest_ms)
+        # The platform holds the listening socket, so SIGTERM means that a newer process has taken over. The
+        # platform kills this process HANDOVER_MARGIN_MS after the longest deadline, regardless of stop_ms.
+        longest_deadline_ms = max(spec.deadline_ms for spec in self.config.settings.classes)
+        wait_ms = min(MAX_HANDOVER_WAIT_MS, longest_deadline_ms)
         self.node.drain(min(self.config.stop_ms, wait_ms + HANDOVER_MARGIN_MS), handover=True)
 
     def reload_configuration(self) -> None:
-        """Carry out SIGHUP: the file is read whole, and if it is invalid nothing changes."""
+        """Reload the configuration, as SIGHUP requests; if the file is invalid, nothing changes."""
         for feature in self.features:
             feature.reload()
         try:
-            new = read_config(self._environ)
+            new_config = read_config(self._environ)
         except ConfigError as error:
             self.node.metrics.sighup_rejected += 1
-            logger.error("configuration not applied, the old one stays: {}", error)
+            logger.error("configuration not applied, the previous one stays in use: {}", error)
             return
         self.node.metrics.sighup_applied += 1
-        changes = _describe_changes(self.config, new)
+        changes = _describe_changes(self.config, new_config)
         self.config = self.config._replace(
-            vm=new.vm, store=new.store, announce=new.announce, stop_ms=new.stop_ms
+            vm=new_config.vm, store=new_config.store, announce=new_config.announce, stop_ms=new_config.stop_ms
         )
-        self.node.set_backend_addresses(_backend_addresses(new))
-        changes += self._apply_settings(new.settings)
+        self.node.set_backend_addresses(_backend_addresses(new_config))
+        changes += self._apply_settings(new_config.settings)
         logger.info("configuration reloaded: {}", ", ".join(changes) or "nothing has changed")
 
-    def _apply_settings(self, new: Settings) -> list[str]:
-        """Accept the new classes at once; open requests keep theirs, other settings need a restart."""
-        old = self.config.settings
-        union = with_updated_classes(old, new)
-        accepted_classes = {spec.name for spec in new.classes}
+    def _apply_settings(self, new_settings: Settings) -> list[str]:
+        """Apply the new classes at once; open requests keep their old classes.
+
+        Changes of other settings need a restart.
+        """
+        old_settings = self.config.settings
+        merged_settings = with_updated_classes(old_settings, new_settings)
+        accepted_classes = {spec.name for spec in new_settings.classes}
         changes = []
-        if union != old or accepted_classes != set(self.balancer_server.schemas):
-            self.config = self.config._replace(settings=union)
-            self.node.apply_settings(union, self._controller_settings(union))
-            self.balancer_server.apply_settings(union, accepted_classes)
-            changes.append("classes are " + " ".join(spec.name for spec in new.classes))
-        if dataclasses.replace(new, classes=()) != dataclasses.replace(old, classes=()):
+        if merged_settings != old_settings or accepted_classes != set(self.balancer_server.schemas):
+            self.config = self.config._replace(settings=merged_settings)
+            self.node.apply_settings(merged_settings, self._controller_settings(merged_settings))
+            self.balancer_server.apply_settings(merged_settings, accepted_classes)
+            changes.append("classes are " + " ".join(spec.name for spec in new_settings.classes))
+        if dataclasses.replace(new_settings, classes=()) != dataclasses.replace(old_settings, classes=()):
             changes.append("other settings need a restart")
         return changes
 
     def run(self) -> None:
-        """Serve until the notice to stop has been carried out."""
+        """Serve until the node has drained after a request to shut down."""
         logger.info("{} listens on {}:{}", self.config.name, *self.config.listen)
         gc.collect()
-        gc.freeze()  # what is loaded by now stays: collections need not walk it
+        gc.freeze()  # the objects created so far stay alive, so collections can skip them
         self.loop.run(self.node.process_events)
         self.loop.flush()
         if self.management is not None:
             self.management.close()
         for feature in self.features:
             feature.close()
-        block_signals()  # the interpreter's end restores the default handlers: a further SIGTERM would kill
+        block_signals()  # Python's shutdown restores the default handlers, so another SIGTERM would kill
--- a/spindlerelay/process/signals.py
+++ b/spindlerelay/process/signals.py
@@ -1,6 +1,7 @@
-"""Signals as a readable descriptor of the event loop.
+"""Delivery of signals through a readable descriptor of the event loop.
 
-Owns the wake-up descriptor and the process's signal mask. It does not know what a signal means.
+This module owns the wake-up descriptor and the process's signal mask; the meaning of a signal is up to its
+handler.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 from spindlerelay.transport.internal_errors import ErrorPlace
 
 BLOCKED_UNTIL_HANDLED = {signal.SIGHUP, signal.SIGTERM, signal.SIGINT}
-READ_BYTES = 64  # signal numbers in one read
+READ_BYTES = 64  # each byte is the number of one signal
 
 
 def block_signals() -> None:
-    """Keep signals pending that would end a process without handlers."""
+    """Keep pending the signals that end a process without handlers."""
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_UNTIL_HANDLED)
 
 
 def unblock_signals() -> None:
-    """Deliver the pending signals, and those to come."""
+    """Deliver pending and future signals."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_UNTIL_HANDLED)
 
 
@@ -43,11 +44,12 @@
         loop.register(self._reader, selectors.EVENT_READ, self)
 
     def on_ready(self, mask: int) -> None:
-        """Call the handlers of the signals that came; called by the loop."""
+        """Call the handlers of the received signals; called by the loop."""
         for number in sorted(set(self._reader.recv(READ_BYTES))):
-            # Signals without a handler here arrive, too. A fault at SIGHUP must not cost a SIGTERM beside it.
+            # Signals without a handler in this table also arrive. An error in the handler of SIGHUP must not
+            # prevent the handling of a SIGTERM from the same read.
             if handler := self._handlers.get(number):
                 self._loop.call_guarded(handler, ErrorPlace.SIGNAL)
 
     def on_handler_error(self) -> None:
-        """Do nothing: the descriptor is the process's own, and stays open to its end."""
+        """Do nothing: the descriptor stays open until the process ends."""
--- a/tests/test_dependencies_node.py
+++ b/tests/test_dependencies_node.py
@@ -111,7 +111,7 @@
         node.archive.expect("CALL", ORDER)
         node.operator.write_text(node.table(archive="nowhere"))
         node.process.send_signal(signal.SIGHUP)
-        node.wait_for_log("dependencies not applied, the old table stays")
+        node.wait_for_log("dependencies not applied, the previous table stays in use")
         assert "'nowhere' stands there" in node.log.read_text()
         node.operator.write_text(node.table(archive=other.address))
         node.process.send_signal(signal.SIGHUP)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -515,7 +515,7 @@
     node.store.expect("CALL", A)
     for number, wrong in enumerate(("{not json", '{"settings": {}}')):
         node.reload(wrong)
-        node.wait_for_log("configuration not applied, the old one stays", number + 1)
+        node.wait_for_log("configuration not applied, the previous one stays in use", number + 1)
     vm, store, announce = Interpreter(), Store(), socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     announce.bind(("127.0.0.1", 0))
     announce.settimeout(TIMEOUT_S)
