--- a/spindlerelay/config/__init__.py
+++ b/spindlerelay/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: the platform's JSON, and the operator's TOML, which only ``run --operator`` loads."""
+"""Configuration: the platform's JSON file and the operator's optional TOML file."""
--- a/spindlerelay/config/operator.py
+++ b/spindlerelay/config/operator.py
@@ -1,7 +1,7 @@
-"""The operator's TOML: one schema, checked completely before anything starts.
+"""Schema of the operator's TOML file, which is validated completely before the node starts.
 
-Maps the file's keys to internal names. All errors are reported at once, each in one line with file, key, the
-value found and what would be right. Without a file, or without a table, a feature is off.
+This module maps the file's keys to internal names. All errors are reported at once, each in one line with the
+file, the key, the value found and the expected value. A feature without a table in the file is off.
 """
 
 from __future__ import annotations
@@ -20,18 +20,18 @@
 from spindlerelay.dependencies import routing_table as dependencies
 
 UNITS_MS = {"ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
-MIN_DEREGISTER_AFTER_MS = 60_000.0  # Consul, agent/check, DeregisterCriticalServiceAfter
-MAX_PREFIX_BYTES = 200  # of a call's body, compared by a route
+MIN_DEREGISTER_AFTER_MS = 60_000.0  # minimum of DeregisterCriticalServiceAfter in the Consul agent API
+MAX_PREFIX_BYTES = 200  # leading bytes of a call's body that a route may compare
 MAX_DEPENDENCIES = 16
-MAX_CALL_BUDGET = 512  # concurrent calls of one node
+MAX_CALL_BUDGET = 512  # concurrent calls from one node to one dependency
 MAX_REPORTED_ERRORS = 50
 
 
 def parse_address(value: Any) -> tuple[str, int]:
-    """Return host and port; the ValueError says what would be right."""
+    """Return the host and port; the text of a ValueError is the expected form."""
     host, _, port = str(value).rpartition(":")
     try:
-        socket.inet_aton(host)  # there is no DNS
+        socket.inet_aton(host)  # names are not resolved
     except OSError:
         host = ""
     if not host or host.count(".") != 3 or not port.isdigit() or not 0 < int(port) < 65536:
@@ -40,7 +40,7 @@
 
 
 def parse_duration(value: Any) -> float:
-    """Return the milliseconds of a time with its unit; the ValueError says what would be right."""
+    """Return the milliseconds of a time with a unit; the text of a ValueError is the expected form."""
     match = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)(ms|s|m|h)", value) if isinstance(value, str) else None
     if not match:
         raise ValueError('a time with its unit, such as "90s" or "2m"')
@@ -50,7 +50,7 @@
 def _parse_deregister_after(value: Any) -> float:
     ms = parse_duration(value)
     if ms < MIN_DEREGISTER_AFTER_MS:
-        raise ValueError('at least "1m": the agent takes out a critical service no sooner')
+        raise ValueError('at least "1m", the minimum of the Consul agent')
     return ms
 
 
@@ -91,7 +91,7 @@
 
 
 class RouteTable(Table):
-    """Which calls go to a dependency: those of a class whose body begins with the prefix."""
+    """A route to a dependency, for calls of one class whose body begins with the prefix."""
 
     cls: Annotated[Text, Field(alias="class", min_length=1)]
     prefix: Prefix = ""
@@ -101,7 +101,7 @@
 
 
 class DependencyTable(Table):
-    """One dependency; times carry their unit in the file."""
+    """One dependency; times have a unit in the file."""
 
     name: Name
     address: Address
@@ -121,7 +121,7 @@
     open_for: Annotated[float, BeforeValidator(parse_duration), Field(ge=50.0, le=60_000.0)] = 700.0
 
     def dependency_spec(self) -> dependencies.DependencySpec:
-        """Return the dependency as the scheduler knows it."""
+        """Return the specification that the call scheduler uses."""
         routes = tuple(dependencies.Route(route.cls, route.prefix.encode()) for route in self.routes)
         return dependencies.DependencySpec(
             self.name,
@@ -143,7 +143,7 @@
 
 
 class MetricsTable(Table):
-    """How often metrics go to the log."""
+    """How often metrics are logged."""
 
     every: Annotated[float, BeforeValidator(parse_duration), Field(ge=100.0, le=3_600_000.0)] = 10_000.0
 
@@ -157,7 +157,7 @@
 
 
 class StorageTable(Table):
-    """What outlives the process: keyed requests that ran, their results, and the learned state."""
+    """Storage of keyed requests that ran, their results, and the learned state."""
 
     path: Annotated[Text, Field(min_length=1)]
     durability: Literal["process", "power"] = "process"
@@ -166,7 +166,7 @@
 
 
 class MembershipTable(Table):
-    """Gossip between nodes: failure detection, and load weights from their reports."""
+    """Gossip between nodes, for failure detection and for load weights from node reports."""
 
     listen: Address
     advertise: Address | None = None
@@ -177,7 +177,7 @@
 
 
 class OperatorConfig(Table):
-    """The whole file."""
+    """The operator's file."""
 
     log: LogTable = LogTable()
     metrics: MetricsTable = MetricsTable()
@@ -189,7 +189,9 @@
 
     def routing_table(self) -> dependencies.RoutingTable:
         """Return all dependencies as one routing table."""
-        return dependencies.RoutingTable(tuple(each.dependency_spec() for each in self.dependency))
+        return dependencies.RoutingTable(
+            tuple(dependency.dependency_spec() for dependency in self.dependency)
+        )
 
 
 class OperatorError(FileError):
@@ -197,10 +199,10 @@
 
 
 def read_operator_file(path: str) -> OperatorConfig:
-    """Return the operator's file, with relative paths resolved from its folder.
+    """Return the content of the operator's file, with relative paths resolved from its folder.
 
     Raises:
-        OperatorError: a line for each error.
+        OperatorError: The file is invalid; the text has one line for each error.
     """
     tree = schema.read_toml(path, OperatorError)
     try:
@@ -214,7 +216,7 @@
 
 
 def _resolve_token_file(path: str, config: OperatorConfig, folder: Path) -> OperatorConfig:
-    """Return the configuration with the path of a readable token file."""
+    """Return the configuration with an absolute path of the token file, once the file is readable."""
     table = config.consul
     if not table or not table.token_file:
         return config
@@ -240,7 +242,7 @@
     """Check the dependencies against a node's settings.
 
     Raises:
-        OperatorError: they do not fit its classes or its share of calls.
+        OperatorError: The dependencies do not fit the node's classes or its share of calls.
     """
     if operator.dependency:
         _raise_if_any(path, dependencies.node_faults(operator.routing_table(), settings))
@@ -252,19 +254,26 @@
 
 
 def _suggest_key(location: tuple[Any, ...]) -> str:
-    """Return what an unknown key should have been."""
+    """Return a hint for an unknown key: the closest known key, or all known keys."""
     names = _known_keys(location[:-1])
-    near = difflib.get_close_matches(str(location[-1]), names, 1)
-    return f"did you mean {near[0]}?" if near else f"known here: {', '.join(names)}"
+    close_matches = difflib.get_close_matches(str(location[-1]), names, 1)
+    return f"did you mean {close_matches[0]}?" if close_matches else f"known here: {', '.join(names)}"
 
 
 def _known_keys(location: tuple[Any, ...]) -> list[str]:
-    """Return the keys of the table at a location."""
+    """Return the known keys of the table at a location."""
     model: Any = OperatorConfig
     for part in location:
-        if isinstance(part, int):  # a place in a list: the same table
+        if isinstance(part, int):  # an index into a list of tables
             continue
         field = model.model_fields.get(part) if hasattr(model, "model_fields") else None
-        kinds = getattr(field.annotation, "__args__", (field.annotation,)) if field else ()
-        model = next((kind for kind in kinds if isinstance(kind, type) and issubclass(kind, Table)), None)
+        types = getattr(field.annotation, "__args__", (field.annotation,)) if field else ()
+        model = next(
+            (
+                candidate
+                for candidate in types
+                if isinstance(candidate, type) and issubclass(candidate, Table)
+            ),
+            None,
+        )
     return schema.table_keys(model) if model else []
--- a/spindlerelay/config/platform.py
+++ b/spindlerelay/config/platform.py
@@ -1,6 +1,7 @@
-"""The platform's configuration: the JSON file that the environment points to.
+"""The platform's configuration: the JSON file that the environment variable ``LB_CONFIG`` names.
 
-Maps the file's keys to ``Config``, once. Knows nothing of the operator's TOML; the lean start loads it.
+This module maps the file's keys to ``Config``. The platform's start loads it, so it imports nothing that only
+the operator's TOML needs.
 """
 
 from __future__ import annotations
@@ -22,19 +23,29 @@
 DEFAULT_MAX_SOCKETS = 1024
 DEFAULT_MEMORY_MB = 192.0
 MAX_PORT = 65535
-SEPARATORS = re.compile(r"[\s\x00-\x20\x7f]")  # would end a word on the interpreter's lines
+SEPARATORS = re.compile(r"[\s\x00-\x20\x7f]")  # not allowed in a word of the interpreter's line protocol
 
 
 class ConfigError(SpindlerelayError):
-    """The configuration cannot be used. The text is one line for whoever started the program."""
+    """The configuration is invalid. The text is shown to the person who started the program."""
 
 
 class Config(NamedTuple):
-    """One node's configuration, under the names of the file's keys.
-
-    ``stop_ms`` is the time from SIGTERM until the process is stopped, ``sockets`` the most descriptors,
-    ``accept_fd`` the clients' listening socket where the platform holds it and hands it down, ``management``
-    the address where operators' tools ask for readiness and metrics.
+    """The configuration of one node; most fields have the names of the file's keys.
+
+    Attributes:
+        name: name of the node.
+        listen: address at which balancers connect.
+        vm: address of the interpreter.
+        store: address of the store.
+        announce: address of the announce service.
+        seed: seed of the node's random generators.
+        stop_ms: time from SIGTERM until the platform kills the process.
+        sockets: maximum number of descriptors.
+        memory_mb: memory limit of the process.
+        settings: settings of the node, from the file's ``settings`` object.
+        accept_fd: descriptor of the listening socket, if the platform holds the socket and passes it on.
+        management: address of readiness and metrics for the operator's tools.
     """
 
     name: str
@@ -52,10 +63,10 @@
 
 
 def parse_address(text: Any, key: str) -> tuple[str, int]:
-    """Return host and port of ``10.0.0.4:4100``.
+    """Return the host and port of an address such as ``10.0.0.4:4100``.
 
     Raises:
-        ConfigError: it is no IPv4 address with a port; there is no DNS.
+        ConfigError: The text is not an IPv4 address with a port; names are not resolved.
     """
     host, _, port = str(text).rpartition(":")
     with contextlib.suppress(OSError, ValueError):
@@ -66,10 +77,10 @@
 
 
 def parse_number(tree: dict[str, Any], key: str, default: float, prefix: str = "") -> float:
-    """Return the number of 0 or more at a key; ``prefix`` names the enclosing object in the error.
+    """Return the number at a key; ``prefix`` names the enclosing object in the error.
 
     Raises:
-        ConfigError: the value is anything else.
+        ConfigError: The value is not a finite number of 0 or more.
     """
     value = tree.get(key, default)
     with contextlib.suppress(ValueError, TypeError, OverflowError):
@@ -82,7 +93,7 @@
     """Return the seed from its hex digits.
 
     Raises:
-        ConfigError: they are none.
+        ConfigError: The text is not a hexadecimal number.
     """
     with contextlib.suppress(ValueError):
         return int(str(text), 16)
@@ -90,10 +101,10 @@
 
 
 def parse_descriptor(text: str) -> int | None:
-    """Return the descriptor named in ``LB_ACCEPT_FD``, None where the platform hands none down.
+    """Return the descriptor named in ``LB_ACCEPT_FD``, or None if the platform passes no descriptor.
 
     Raises:
-        ConfigError: it is no whole number.
+        ConfigError: The text is not a whole number.
     """
     if not text:
         return None
@@ -103,26 +114,26 @@
 
 
 def check_class_names(settings: api.Settings) -> api.Settings:
-    """Return the settings, once every class has a name that is one word.
+    """Return the settings, after checking that the name of each class is one word.
 
-    The interpreter's protocol separates words by blanks: a name with one would break its link, and with it
-    every other class.
+    The interpreter's line protocol separates words by blanks. A class name with a blank would break the
+    connection to the interpreter, and with it all classes.
 
     Raises:
-        ConfigError: a class has no name, or one with a blank or control character.
+        ConfigError: The name of a class is empty or contains a blank or a control character.
     """
     for index, spec in enumerate(settings.classes):
         if not spec.name or SEPARATORS.search(spec.name):
-            wanted = "a name of one word, such as preview: no blank can go on the interpreter's lines"
-            raise ConfigError(f"setting classes.{index}.name: {spec.name!r} is not {wanted}")
+            expected = "a name of one word, such as preview; the interpreter's protocol allows no blank in it"
+            raise ConfigError(f"setting classes.{index}.name: {spec.name!r} is not {expected}")
     return settings
 
 
 def read_config(environ: dict[str, str]) -> Config:
-    """Return the configuration that the environment points to.
+    """Return the configuration from the file that ``LB_CONFIG`` names.
 
     Raises:
-        ConfigError: there is none, or it makes no sense.
+        ConfigError: The variable is not set, or the file is invalid.
     """
     path = environ.get("LB_CONFIG", "")
     if not path:
@@ -133,10 +144,10 @@
 
 
 def read_file(path: str, environ: dict[str, str]) -> Config:
-    """Return the configuration in a file; ``environ`` gives what the file leaves out.
+    """Return the configuration in a file; ``environ`` provides values that the file leaves out.
 
     Raises:
-        ConfigError: one line that names file and key, and what would be right.
+        ConfigError: The file is invalid; the text names the file, the key and the expected value.
     """
     tree = _read_json(path)
     tree.setdefault("name", environ.get("LB_NAME", ""))
@@ -150,8 +161,8 @@
 
 def _read_json(path: str) -> dict[str, Any]:
     try:
-        if not stat.S_ISREG(Path(path).stat().st_mode):  # reading a pipe could block the loop for ever
-            raise ConfigError(f"{path} is not a plain file: name the node's JSON file")
+        if not stat.S_ISREG(Path(path).stat().st_mode):  # reading a pipe could block the event loop forever
+            raise ConfigError(f"{path} is not a regular file: name the node's JSON file")
         with Path(path).open(encoding="utf-8") as file:
             tree = ujson.load(file)
     except OSError as error:
@@ -159,7 +170,9 @@
     except ValueError as error:
         raise ConfigError(f"{path} is not JSON: {error}") from None
     if not isinstance(tree, dict) or not isinstance(tree.get("settings"), dict):
-        raise ConfigError(f"{path}: settings are missing: an object with classes, family-info and more")
+        raise ConfigError(
+            f"{path}: settings are missing: expected an object with classes, family-info and other keys"
+        )
     return tree
 
 
