--- a/spindlerelay/__init__.py
+++ b/spindlerelay/__init__.py
@@ -1,3 +1,3 @@
-"""spindlerelay: an overload controller that lives inside each server of a fleet."""
+"""spindlerelay: a render node with built-in overload control, its command line and its testbed."""
 
 __version__ = "0.2.0"
--- a/spindlerelay/__main__.py
+++ b/spindlerelay/__main__.py
@@ -1,13 +1,14 @@
-"""Entry point ``python -m spindlerelay``: the platform's start, or with arguments the command line.
+"""Entry point of ``python -m spindlerelay``.
 
-Without arguments it imports nothing of the command line, the testbed or the operator's features.
+Without arguments it starts a node as the platform does, and imports neither the command line, the testbed nor
+the optional features. With arguments it runs the command line.
 """
 
 from __future__ import annotations
 
 import signal
 
-# A signal that comes before there is a handler must not end the process at once: it stays pending until then.
+# A signal must not end the process before its handler is installed: it stays pending until then.
 signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 
 # ruff: noqa: E402
@@ -23,13 +24,13 @@
 
 
 def main() -> int:
-    """Return exit status 0 after an orderly end, 2 for an invalid configuration."""
+    """Return exit status 0 after an orderly shutdown, 2 for an invalid configuration."""
     if len(sys.argv) > 1:
-        from spindlerelay.cli import main as command
+        from spindlerelay.cli import main as run_command_line
 
         if sys.argv[1] != "run":
             unblock_signals()
-        return command()
+        return run_command_line()
     log_to_stderr()
     try:
         Service(read_config(dict(os.environ))).run()
--- a/spindlerelay/errors.py
+++ b/spindlerelay/errors.py
@@ -1,7 +1,7 @@
-"""The base of all exceptions that spindlerelay raises on purpose."""
+"""Base class of the exceptions of this package."""
 
 from __future__ import annotations
 
 
 class SpindlerelayError(Exception):
-    """Base class. The text is one line that says what is wrong and what would be right."""
+    """Base class. The text is one line that names the wrong value and the expected one."""
--- a/spindlerelay/observability/__init__.py
+++ b/spindlerelay/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Observability: traces of the requests that a node reads."""
+"""Observability: traces of the requests that a node receives."""
--- a/spindlerelay/observability/request_capture.py
+++ b/spindlerelay/observability/request_capture.py
@@ -1,7 +1,8 @@
-"""Capture of the requests that a node reads, as a trace for replay; off without the operator's ``[capture]``.
+"""Capture of the requests that a node receives, as a trace for replay.
 
-Bounded in requests and bytes; lines are buffered and written on a timer, the buffer is bounded, too. Whatever
-the file system does, the node serves on: a failed write ends the capture with one log line.
+The operator enables the capture by the ``[capture]`` table. The trace is limited in requests and bytes. Lines
+are collected in a bounded buffer and written on a timer. A failed write ends the capture with one log line;
+the node goes on serving.
 """
 
 from __future__ import annotations
@@ -31,16 +32,16 @@
 
 
 class RequestCapture:
-    """Writes a trace of every request that it observes, up to its bounds.
+    """Writes a trace of all observed requests, up to the limits of the options.
 
     Args:
         loop: the node's event loop.
-        options: file and bounds.
-        settings: names of classes and tenants.
-        salt: of the hashes; drawn at random where it is empty.
+        options: the trace file and its limits.
+        settings: settings that contain the names of classes and tenants.
+        salt: key of the hashes in the trace; random if it is empty.
 
     Raises:
-        OSError: the file cannot be made, or exists already.
+        OSError: The file exists already, or cannot be created.
     """
 
     def __init__(self, loop: EventLoop, options: Options, settings: Settings, salt: bytes = b"") -> None:
@@ -55,30 +56,30 @@
         self.enabled = True
         self._file = Path(options.path).open("xb", buffering=0)  # noqa: SIM115
         self._pending = bytearray()
-        self._add(trace_format.encode_header())
+        self._append(trace_format.encode_header())
         loop.call_later(WRITE_INTERVAL_MS, self._write_periodically)
         logger.info(
-            "capture: requests go to {}, at most {} and {} bytes",
+            "capture: writing requests to {}, at most {} requests and {} bytes",
             options.path,
             options.max_requests,
             options.max_bytes,
         )
 
     def observe(self, request: IncomingRequest) -> None:
-        """Add a request that a front end has read."""
+        """Add a request that a front end has received."""
         if not self.enabled:
             return
         self.first_received_at_ms = self.first_received_at_ms or request.received_at_ms
         line = trace_format.encode_record(self._record(request))
-        at_bound = self.captured >= self.options.max_requests
-        full = at_bound or self.captured_bytes + len(line) > self.options.max_bytes
+        at_request_limit = self.captured >= self.options.max_requests
+        full = at_request_limit or self.captured_bytes + len(line) > self.options.max_bytes
         if full or len(self._pending) + len(line) > MAX_PENDING_BYTES:
             if full and not self.missed:
-                logger.info("capture: full after {} requests, the node serves on without", self.captured)
+                logger.info("capture: full after {} requests, later requests are not captured", self.captured)
             self.missed += 1
             return
         self.captured += 1
-        self._add(line)
+        self._append(line)
 
     def _record(self, request: IncomingRequest) -> trace_format.TraceRecord:
         tenants = self.settings.tenant_names
@@ -96,7 +97,7 @@
             is_retry=request.is_retry,
         )
 
-    def _add(self, data: bytes) -> None:
+    def _append(self, data: bytes) -> None:
         self.captured_bytes += len(data)
         self._pending += data
 
@@ -106,23 +107,23 @@
             self.loop.call_later(WRITE_INTERVAL_MS, self._write_periodically)
 
     def _write(self) -> None:
-        """Write the buffer; a part that was written is not written again."""
+        """Write the buffer; after an error the part already written is not written again."""
         try:
             while self._pending:
                 del self._pending[: self._file.write(self._pending)]
         except OSError as error:
             self.enabled = False
             self._pending.clear()
-            logger.error("capture: ended, {} cannot be written: {}", self.options.path, error.strerror)
+            logger.error("capture: stopped, cannot write to {}: {}", self.options.path, error.strerror)
 
     def start_shutdown(self) -> None:
-        """Go on: requests that come during the drain are a part of the trace."""
+        """Do nothing: the trace includes the requests that arrive during the drain."""
 
     def reload(self) -> None:
-        """Keep the bounds until the capture ends."""
+        """Do nothing: the options stay the same until the capture ends."""
 
     def close(self) -> None:
-        """Write the last line, without which readers take the trace for cut off, and close the file."""
+        """Write the footer, without which readers treat the trace as truncated, and close the file."""
         if self.enabled:
             self._pending += trace_format.encode_footer(self.captured, self.missed)
             self._write()
--- a/spindlerelay/observability/trace_format.py
+++ b/spindlerelay/observability/trace_format.py
@@ -1,8 +1,8 @@
-"""Format of request traces: one JSON object a line, documented in docs/traces.md. Pure.
+"""Format of request traces: one JSON object per line, documented in docs/traces.md. Pure.
 
-Maps the stored field names to ``TraceRecord``, once. The first line names format and version, the last one
-counts the records: a trace without it was cut off. Request bodies and keys appear only as salted hashes, by
-which equal ones are recognised.
+This module maps ``TraceRecord`` to the stored field names. The first line (header) names the format and its
+version; the last line (footer) counts the records, so a trace without a footer is truncated. Request bodies
+and keys appear only as salted hashes, by which readers can recognise equal bodies and keys.
 """
 
 from __future__ import annotations
@@ -14,16 +14,17 @@
 
 FORMAT = "spindlerelay-trace"
 VERSION = 1
-DIGEST_BYTES = 8  # of bodies
-KEY_BYTES = 16  # of idempotency keys
-MAX_SALT_BYTES = 64  # BLAKE2b takes no longer key
+DIGEST_BYTES = 8  # digest size for request bodies
+KEY_BYTES = 16  # digest size for idempotency keys
+MAX_SALT_BYTES = 64  # maximum key length of BLAKE2b
 
 
 class TraceRecord(NamedTuple):
-    """One request as it came.
+    """One received request.
 
-    ``at_ms`` counts from the first request; ``remaining_ms`` is how long the caller waits, 0 for the default
-    of the class. ``body_digest`` and ``key_digest`` are hex digits, empty where there is nothing.
+    ``at_ms`` is the time since the first request of the trace. ``remaining_ms`` is the time that the caller
+    waits, 0 for the default of the class. ``body_digest`` and ``key_digest`` are hex digits; they are empty
+    if the body is unknown or the request has no key.
     """
 
     at_ms: float
@@ -39,12 +40,12 @@
 
 
 def digest(salt: bytes, data: bytes, size: int = DIGEST_BYTES) -> str:
-    """Return the hex digits of BLAKE2b keyed by the salt (RFC 7693), ``size`` bytes long."""
+    """Return the BLAKE2b digest keyed by the salt (RFC 7693), ``size`` bytes in hex digits."""
     return hashlib.blake2b(data, digest_size=size, key=salt[:MAX_SALT_BYTES]).hexdigest()
 
 
 def encode_header(note: str = "") -> bytes:
-    """Return the first line of a trace."""
+    """Return the first line of a trace, with an optional note on its origin."""
     header: dict[str, Any] = {"format": FORMAT, "version": VERSION}
     if note:
         header["note"] = note
@@ -52,7 +53,7 @@
 
 
 def encode_record(record: TraceRecord) -> bytes:
-    """Return a record's line; fields with their default are left out."""
+    """Return the line of a record; most fields with an empty value are left out."""
     stored: dict[str, Any] = {"at": round(record.at_ms, 3), "class": record.class_name}
     if record.tenant:
         stored["department"] = record.tenant
@@ -71,7 +72,7 @@
 
 
 def encode_footer(count: int, missed: int = 0) -> bytes:
-    """Return the last line; ``missed`` requests came past a bound of the capture."""
+    """Return the last line; ``missed`` is the number of requests beyond the limits of the capture."""
     footer = {"end": count}
     if missed:
         footer["missed"] = missed
--- a/spindlerelay/simhost.py
+++ b/spindlerelay/simhost.py
@@ -1,4 +1,4 @@
-"""Entry point on the simulator's wire, ``python -m spindlerelay.simhost``; see ``simulator.host``."""
+"""Entry point of ``python -m spindlerelay.simhost``; ``simulator.host`` describes the process."""
 
 import sys
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -221,7 +221,7 @@
         node.interpreter.expect("APPLY")
         node.interpreter.value("00000000000000a1", b"done")
         assert balancer.response(asked) == b"done"
-        node.wait_for_log("capture: requests go to")
+        node.wait_for_log("capture: writing requests to")
         node.terminate()
         node.process.wait(20)
     found = trace_replay.read_trace(str(tmp_path / "out.jsonl"))
