--- a/spindlerelay/process/service.py
+++ b/spindlerelay/process/service.py
@@ -90,11 +90,11 @@
     for key, value, reloadable in CONFIG_ENTRIES:
         new_value = value(new)
         if new_value != value(old):
-            changes.append(f"{key} is {_format(new_value)}" if reloadable else f"{key} needs a restart")
+            changes.append(f"{key} is {_format_value(new_value)}" if reloadable else f"{key} needs a restart")
     return changes
 
 
-def _format(value: object) -> str:
+def _format_value(value: object) -> str:
     return "{}:{}".format(*value) if isinstance(value, tuple) else str(value)
 
 
--- a/spindlerelay/storage/persistence.py
+++ b/spindlerelay/storage/persistence.py
@@ -67,7 +67,7 @@
         """Return all keys, oldest first."""
         ...
 
-    def restore(self, key: str, content: int, bound_until: float, result: bytes | None) -> None:
+    def restore(self, key: str, content_hash: int, bound_until_ms: float, result: bytes | None) -> None:
         """Add a request that ran in an earlier process."""
         ...
 
