--- a/spindlerelay/cli/__init__.py
+++ b/spindlerelay/cli/__init__.py
@@ -1,4 +1,4 @@
-"""Command line: one command a module. The platform's start loads none of this."""
+"""The command line, with one module per command. The platform's start loads none of them."""
 
 from __future__ import annotations
 
@@ -10,35 +10,35 @@
 COMMANDS = {
     "run": "run one render node",
     "check": "check configuration files without starting anything",
-    "demo": "play a small fleet on the emulator",
-    "load": "send open-loop load to nodes, an emulated fleet or echo stand-ins",
-    "trace": "import, check and describe traces of requests",
-    "experiment": "play a matrix of runs and compare variants pair by pair",
-    "report": "make a page of a recorded run or an experiment",
-    "simulate": "play one seed of the fleet in virtual time, and replay what broke",
-    "members": "show what a node believes of the others",
-    "state": "show, verify or compact what outlives a node's restarts",
-    "drill": "cause a failure on the emulator and check the claims about it",
+    "demo": "run a small fleet on the emulator",
+    "load": "send open-loop load to nodes, an emulated fleet or echo servers",
+    "trace": "import, check and describe request traces",
+    "experiment": "run a matrix of variants and compare them in pairs",
+    "report": "write an HTML report of a recorded run or an experiment",
+    "simulate": "simulate a fleet from one seed in virtual time, and reproduce violations",
+    "members": "show a node's view of the cluster members",
+    "state": "show, verify or compact the stored state of a node",
+    "drill": "inject a failure on the emulator and check the claims about it",
 }
 
 
 class LazyGroup(click.Group):
-    """Loads a command's module only when it is called: a check needs no testbed."""
+    """Loads the module of a command only when the command is called; ``check`` needs no testbed."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands."""
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a command, loading its module; None where there is none."""
+        """Load the module of a command and return the command; None if the name is unknown."""
         if cmd_name not in COMMANDS:
             return None
-        found = getattr(importlib.import_module(f"spindlerelay.cli.{cmd_name}"), cmd_name)
-        assert isinstance(found, click.Command)
-        return found
+        command = getattr(importlib.import_module(f"spindlerelay.cli.{cmd_name}"), cmd_name)
+        assert isinstance(command, click.Command)
+        return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the commands' one-line descriptions without loading them."""
+        """Write the one-line descriptions of all commands without loading their modules."""
         with formatter.section("Commands"):
             formatter.write_dl(list(COMMANDS.items()))
 
@@ -47,33 +47,37 @@
 def group() -> None:
     """Render node and testbed.
 
-    Without a command, ``python -m spindlerelay`` is the platform's start.
+    Without a command, ``python -m spindlerelay`` starts a node as the platform does.
     """
 
 
-def reported_errors(lines: list[str]) -> CommandError:
-    """Return one error that prints all errors of a file, a line each."""
+def combine_errors(lines: list[str]) -> CommandError:
+    """Return one error that prints all errors of a file, one per line."""
     return CommandError("\nspindlerelay: ".join(lines))
 
 
 class CommandError(click.ClickException):
-    """An error printed in one line, with the next step; exit status 2."""
+    """An error that ends the command with exit status 2; the message names the problem and the remedy."""
 
     exit_code = 2
 
     def show(self, file: object = None) -> None:
-        """Print the error on stderr."""
+        """Print the error to standard error."""
         click.echo(f"spindlerelay: {self.message}", err=True)
 
 
 def main() -> int:
-    """Run the command line; return 0, 1 for a claim that failed, 2 for bad input."""
+    """Run the command line and return the exit status.
+
+    The status is 0 for success, 1 for a failed claim, a violated rule or a void run, 2 for invalid input, and
+    130 after an interrupt.
+    """
     try:
         status = group.main(prog_name="spindlerelay", standalone_mode=False)
         return status if isinstance(status, int) else 0
     except click.UsageError as error:
-        where = error.ctx.command_path if error.ctx else "spindlerelay"
-        click.echo(f"spindlerelay: {error.format_message()} (see '{where} --help')", err=True)
+        command_path = error.ctx.command_path if error.ctx else "spindlerelay"
+        click.echo(f"spindlerelay: {error.format_message()} (see '{command_path} --help')", err=True)
     except click.ClickException as error:
         error.show()
     except click.Abort:
--- a/spindlerelay/cli/experiment.py
+++ b/spindlerelay/cli/experiment.py
@@ -1,4 +1,4 @@
-"""``experiment``: play a matrix of runs, and say pair by pair whether the variants differ."""
+"""The command ``experiment``: runs a matrix of variants and compares them in pairs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     TimeRemainingColumn,
 )
 
-from spindlerelay.cli import CommandError, reported_errors
+from spindlerelay.cli import CommandError, combine_errors
 from spindlerelay.testbed.experiments import matrix, runner
 from spindlerelay.testbed.experiments.pairs import compare
 from spindlerelay.testbed.experiments.results import ResultEntry, Results, ResultsError
@@ -22,64 +22,75 @@
 
 @click.command()
 @click.argument("path", type=click.Path())
-@click.option("--db", type=click.Path(dir_okay=False), help="Results; FILE.db if left out.")
-@click.option("--most", default=0, type=click.IntRange(0), help="Stop after so many runs.")
-@click.option("--dry", is_flag=True, help="Only say what would be played.")
+@click.option(
+    "--db", type=click.Path(dir_okay=False), help="Database of the results; by default PATH with suffix .db."
+)
+@click.option(
+    "--most", default=0, type=click.IntRange(0), help="Stop after this number of runs; 0 for no limit."
+)
+@click.option("--dry", is_flag=True, help="Only print how many runs are completed.")
 def experiment(path: str, db: str | None, most: int, dry: bool) -> int:
-    """Play what is missing of the experiment in FILE.toml; status 1 when a run is void or broke a rule."""
+    """Run the missing part of an experiment; exit status 1 if a run is void or violated a rule.
+
+    PATH is the experiment's TOML file.
+    """
     try:
-        found = matrix.read_experiment(path)
+        definition = matrix.read_experiment(path)
         results = Results(db or path.removesuffix(".toml") + ".db")
-        missing = runner.missing(runner.resolved(found), results)
+        missing = runner.missing(runner.resolved(definition), results)
     except matrix.ExperimentError as error:
-        raise reported_errors(error.lines) from None
+        raise combine_errors(error.lines) from None
     except (ResultsError, RevisionError) as error:
         raise CommandError(str(error)) from None
     console = Console()
-    total = len(matrix.runs(found))
-    at_once = runner.concurrent_runs(found)
-    console.print(f"{found.name}: {total} runs, {total - len(missing)} are there, {at_once} at once")
+    total = len(matrix.runs(definition))
+    concurrent_runs = runner.concurrent_runs(definition)
+    console.print(
+        f"{definition.name}: {total} runs, {total - len(missing)} completed, {concurrent_runs} in parallel"
+    )
     if dry:
         return 0
     try:
-        problems = _play(found, results, console, min(len(missing), most or len(missing)), most)
+        problems = _play(definition, results, console, min(len(missing), most or len(missing)), most)
     except KeyboardInterrupt:
-        console.print("stopped; what has ended is kept, and the same command goes on from there")
+        console.print("stopped; completed runs are kept, and the same command continues from there")
         return 130
     except RevisionError as error:
         raise CommandError(str(error)) from None
     for line in problems:
         console.print(line)
-    for row in compare(results.played(found.name), results.variants(found.name)):
+    for row in compare(results.played(definition.name), results.variants(definition.name)):
         console.print(
-            f"{row.where or 'over all'}: " + row.interval.describe(found.variant[0].name, row.variant)
+            f"{row.where or 'overall'}: " + row.interval.describe(definition.variant[0].name, row.variant)
         )
     results.close()
     return 1 if problems else 0
 
 
-def _play(found: matrix.Experiment, results: Results, console: Console, total: int, most: int) -> list[str]:
-    """Play what is missing, with a progress bar, and return a line for each run that does not count."""
+def _play(
+    definition: matrix.Experiment, results: Results, console: Console, total: int, most: int
+) -> list[str]:
+    """Run the missing runs with a progress bar, and return a line for each void run or rule violation."""
     problems: list[str] = []
     columns = (
         TextColumn("{task.description}"),
         BarColumn(),
         MofNCompleteColumn(),
         TimeElapsedColumn(),
-        TextColumn("left"),
+        TextColumn("remaining"),
         TimeRemainingColumn(),
     )
     with Progress(*columns, console=console, transient=True) as progress:
-        bar = progress.add_task(found.name, total=total)
+        task = progress.add_task(definition.name, total=total)
 
         def run_completed(entry: ResultEntry) -> None:
-            progress.advance(bar)
+            progress.advance(task)
             played = entry.played
             if played.void_reason:
                 problems.append(f"void: {played.variant} {played.cell}: {played.void_reason}")
             elif played.figures["rules_broken"]:
-                problems.append(f"rules broken: {played.variant} {played.cell}")
+                problems.append(f"rules violated: {played.variant} {played.cell}")
 
-        for _ in runner.play_missing(found, results, run_completed, most):
+        for _ in runner.play_missing(definition, results, run_completed, most):
             pass
     return problems
--- a/spindlerelay/cli/load.py
+++ b/spindlerelay/cli/load.py
@@ -1,4 +1,7 @@
-"""``load``: sends open-loop load and reports outcomes, measured from each request's intended time."""
+"""The command ``load``: sends open-loop load and reports outcomes.
+
+Latencies count from the time at which a request should have been sent, to avoid coordinated omission.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from spindlerelay.cli import CommandError, reported_errors
+from spindlerelay.cli import CommandError, combine_errors
 from spindlerelay.config.operator import parse_address, parse_duration
 from spindlerelay.process.logging import log_to_stderr
 from spindlerelay.testbed import baseline_policies
@@ -43,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOptions:
-    """Options of the command, under the names of its parameters. Rates in requests a second."""
+    """The options of the command, under the names of its parameters. Rates are in requests per second."""
 
     targets: tuple[str, ...]
     emulator: int | None
@@ -72,22 +75,28 @@
 
 
 def _parse_stall(text: str) -> PlannedStall:
-    """Return a stall of ``2s@4s``: for 2 s, from 4 s on."""
-    lasts, _, at = text.partition("@")
+    """Return the stall of a text such as ``2s@4s``, which lasts 2 s and begins at 4 s."""
+    duration, _, begin = text.partition("@")
     try:
-        return PlannedStall(parse_duration(at), parse_duration(lasts))
+        return PlannedStall(parse_duration(begin), parse_duration(duration))
     except ValueError:
         raise CommandError(f"--stall {text}: expected a length and a time, such as 2s@4s") from None
 
 
 def _parse_event(text: str) -> FaultEvent:
-    """Return a fault of ``crash:2@5s+3s``: kind, node, begin, length; node and length are optional."""
+    """Return the fault of a text such as ``crash:2@5s+3s``: kind, node, begin and length.
+
+    The node and the length are optional.
+    """
     head, _, times = text.partition("@")
     kind, _, node = head.partition(":")
-    at, _, lasts = times.partition("+")
+    begin, _, duration = times.partition("+")
     try:
         return FaultEvent(
-            kind, parse_duration(at), parse_duration(lasts) if lasts else 2000.0, int(node) if node else 0
+            kind,
+            parse_duration(begin),
+            parse_duration(duration) if duration else 2000.0,
+            int(node) if node else 0,
         )
     except ValueError:
         raise CommandError(
@@ -103,12 +112,18 @@
 
 
 @click.command()
-@click.option("--target", "targets", multiple=True, help="ADDRESS:PORT of a node; may stand several times.")
-@click.option("--emulator", type=click.IntRange(1, 64), help="Play on an emulated fleet of so many nodes.")
-@click.option("--echo", type=click.IntRange(1, 16), help="Send to so many stand-ins that answer at once.")
-@click.option("--rate", default=0.0, help="Requests a second; --load may stand in its place.")
-@click.option("--to-rate", default=0.0, help="End of a ramp, top of a staircase, rate of a burst.")
-@click.option("--load", "share", default=0.7, show_default=True, help="In parts of emulated capacity.")
+@click.option("--target", "targets", multiple=True, help="ADDRESS:PORT of a node; may be repeated.")
+@click.option("--emulator", type=click.IntRange(1, 64), help="Send to an emulated fleet of this many nodes.")
+@click.option(
+    "--echo", type=click.IntRange(1, 16), help="Send to this many echo servers, which answer at once."
+)
+@click.option("--rate", default=0.0, help="Requests per second; with --emulator, --load may replace it.")
+@click.option(
+    "--to-rate", default=0.0, help="Final rate of a ramp, highest rate of a staircase, or rate of a burst."
+)
+@click.option(
+    "--load", "share", default=0.7, show_default=True, help="Load as a fraction of the emulated capacity."
+)
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(0.5, load_run.MAX_RUN_S))
 @click.option("--arrivals", default="poisson", show_default=True, type=click.Choice(arrival_process.SPACINGS))
 @click.option("--curve", default="steady", show_default=True, type=click.Choice(arrival_process.CURVES))
@@ -118,49 +133,67 @@
     "--habits",
     default="steady",
     show_default=True,
-    help=f"Shares of balancers, as storm:0.3,steady:0.7; known: {', '.join(BALANCER_PROFILES)}.",
+    help=f"Shares of balancer profiles, such as storm:0.3,steady:0.7; known: {', '.join(BALANCER_PROFILES)}.",
+)
+@click.option(
+    "--users",
+    default=0,
+    type=click.IntRange(0, 10_000),
+    help="Number of users in a closed loop; 0 for an open loop.",
+)
+@click.option("--stall", "stalls", multiple=True, help="LENGTH@BEGIN of a stall of the echo servers.")
+@click.option(
+    "--trouble", "troubles", multiple=True, help="KIND:NODE@BEGIN+LENGTH of a fault in the emulated fleet."
+)
+@click.option(
+    "--drawn", default=0, type=click.IntRange(0, 20), help="Number of additional faults drawn from the seed."
+)
+@click.option("--policy", default="module", show_default=True, help="Admission policy of the emulated nodes.")
+@click.option(
+    "--late-bound",
+    default=load_run.SEND_DELAY_BOUND_MS,
+    show_default=True,
+    help="Largest p99 of the sender's delay in ms; the run is void above it.",
 )
-@click.option("--users", default=0, type=click.IntRange(0, 10_000), help="A closed loop of so many.")
-@click.option("--stall", "stalls", multiple=True, help="LENGTH@BEGIN of a stall of the echo stand-ins.")
-@click.option("--trouble", "troubles", multiple=True, help="KIND:NODE@BEGIN+LENGTH, emulated.")
-@click.option("--drawn", default=0, type=click.IntRange(0, 20), help="So many troubles drawn from the seed.")
-@click.option("--policy", default="module", show_default=True, help="On the emulator: what nodes decide by.")
+@click.option("--replay", type=click.Path(), help="Trace to replay instead of drawn arrivals.")
+@click.option("--speed", default=1.0, type=click.FloatRange(0.01, 100.0), help="Speed of the replay.")
+@click.option("--retries", is_flag=True, help="Also replay requests that are marked as retries.")
 @click.option(
-    "--late-bound", default=load_run.SEND_DELAY_BOUND_MS, show_default=True, help="Ms of the sender's p99."
+    "--capture", type=click.Path(dir_okay=False), help="Write the arrivals to this file as a trace."
+)
+@click.option("--json", "path", type=click.Path(dir_okay=False), help="Write the figures to this file.")
+@click.option(
+    "--record", type=click.Path(dir_okay=False), help="Write all outcomes to this file, for 'report'."
 )
-@click.option("--replay", type=click.Path(), help="A trace, in place of drawn arrivals.")
-@click.option("--speed", default=1.0, type=click.FloatRange(0.01, 100.0), help="Of the replay.")
-@click.option("--retries", is_flag=True, help="Replay marked further tries, too.")
-@click.option("--capture", type=click.Path(dir_okay=False), help="Write the arrivals there as a trace.")
-@click.option("--json", "path", type=click.Path(dir_okay=False), help="Write figures there.")
-@click.option("--record", type=click.Path(dir_okay=False), help="All outcomes, for 'report'.")
 def load(**parameters: Any) -> int:
-    """Send load that waits for no answer; status 1 when the run is void or a rule broke."""
+    """Send open-loop load; exit status 1 if the run is void or a rule was violated."""
     options = LoadOptions(**parameters)
     log_to_stderr(level="ERROR")
     if sum(map(bool, (options.targets, options.emulator, options.echo))) != 1:
-        raise CommandError("give one of --target, --emulator and --echo: who is the load for?")
+        raise CommandError("give one of --target, --emulator and --echo as the receiver of the load")
     try:
         recording = _play_on_emulator(options) if options.emulator else _play_on_targets(options)
     except trace_replay.TraceError as error:
-        raise reported_errors(error.lines) from None
+        raise combine_errors(error.lines) from None
     except (ValueError, RuntimeError) as error:
         raise CommandError(str(error)) from None
     return _print_result(recording, options)
 
 
 def _stream(options: LoadOptions, rate: float, to_rate: float) -> Stream:
-    line = arrival_process.curve(options.curve, rate, to_rate or rate, options.seconds * 1000.0)
-    return Stream(options.seed, options.arrivals, line, options.replay or "", options.speed, options.retries)
+    rate_curve = arrival_process.curve(options.curve, rate, to_rate or rate, options.seconds * 1000.0)
+    return Stream(
+        options.seed, options.arrivals, rate_curve, options.replay or "", options.speed, options.retries
+    )
 
 
 def _play_on_targets(options: LoadOptions) -> Recording:
     if not options.replay and options.rate <= 0.0:
         raise CommandError("--rate: a number of requests a second above 0 is needed")
     if options.troubles or options.drawn or options.policy != "module":
-        raise CommandError("--trouble, --drawn and --policy are for --emulator")
+        raise CommandError("--trouble, --drawn and --policy need --emulator")
     if options.stalls and not options.echo:
-        raise CommandError("--stall is for --echo")
+        raise CommandError("--stall needs --echo")
     stream = _stream(options, options.rate, options.to_rate)
     targets = tuple(_parse_target(number, text) for number, text in enumerate(options.targets))
     spec = LoadSpec(
@@ -174,25 +207,25 @@
     else:
         result = load_run.play(spec)
     _write_capture(options, stream)
-    return recording_of(spec, result)
+    return to_recording(spec, result)
 
 
-def recording_of(spec: LoadSpec, result: LoadResult) -> Recording:
-    """Return a load run as a recording for reports."""
-    late = result.send_delay
+def to_recording(spec: LoadSpec, result: LoadResult) -> Recording:
+    """Return the recording of a load run, for reports."""
+    send_delay = result.send_delay
     summary = {
         "seed": spec.stream.seed,
         "workers": spec.workers,
         "users": spec.users,
-        "intended": late.intended,
-        "sent": late.sent,
-        "late_p99_ms": round(late.p99_ms, 3),
-        "late_most_ms": round(late.max_ms, 2),
+        "intended": send_delay.intended,
+        "sent": send_delay.sent,
+        "late_p99_ms": round(send_delay.p99_ms, 3),
+        "late_most_ms": round(send_delay.max_ms, 2),
         "faults": result.void_reasons(),
         "notes": result.notes(),
         "digest": result.digest,
         "lost_workers": result.lost_workers,
-        "clock_steps": sum(each.clock_steps for each in result.clock_reports),
+        "clock_steps": sum(report.clock_steps for report in result.clock_reports),
         "departments": list(traffic.TENANT_NAMES),
         "rules": {},
     }
@@ -205,11 +238,11 @@
     events = [_parse_event(text) for text in options.troubles]
     events += fault_script.draw_events(options.seed, options.drawn, nodes, seconds * 1000.0)
     for event, text in zip(events, options.troubles, strict=False):
-        if wrong := fault_script.validation_errors(event, nodes, seconds * 1000.0):
-            raise CommandError(f"--trouble {text}: {wrong[0]}")
+        if errors := fault_script.validation_errors(event, nodes, seconds * 1000.0):
+            raise CommandError(f"--trouble {text}: {errors[0]}")
     if options.workers != 1 or options.users:
         raise CommandError(
-            "--workers and --users are not for --emulator: its one stage sends, and waits for nobody"
+            "--workers and --users do not apply to --emulator, which sends open-loop load from one process"
         )
     if not baseline_policies.is_known(options.policy):
         raise CommandError(f"--policy {options.policy}: expected one of {', '.join(baseline_policies.NAMES)}")
@@ -227,7 +260,7 @@
         options.habits,
         options.policy,
         tuple(events),
-        any(each.kind == "catalogue" for each in events),
+        any(event.kind == "catalogue" for event in events),
         stream=stream,
     )
     if options.capture:
@@ -241,10 +274,10 @@
 
 
 def flat_figures(recording: Recording) -> dict[str, Any]:
-    """Return a run's figures under flat keys, as published in JSON."""
+    """Return the figures of a run under the flat keys of the published JSON."""
     summary = recording.details
     rows = recording.rows
-    names = list(traffic.TENANT_NAMES)
+    tenant_names = list(traffic.TENANT_NAMES)
     figures: dict[str, Any] = {
         "worth": round(outcomes.goodput(rows, traffic.CLASSES), 5),
         "sent_ratio": round(summary["sent"] / max(1, summary["intended"]), 6),
@@ -253,12 +286,12 @@
     }
     keys = ("intended", "sent", "late_p99_ms", "late_most_ms", "digest", "lost_workers", "clock_steps")
     figures |= {key: summary[key] for key in keys if key in summary}
-    for by in ("class", "department", "outcome"):
-        for row in outcomes.table(rows, traffic.CLASSES, names, by):
-            if by == "class" or row[by] != "all":
-                figures |= {f"{row[by]}_{key}": value for key, value in row.items() if key != by}
+    for grouping in ("class", "department", "outcome"):
+        for row in outcomes.table(rows, traffic.CLASSES, tenant_names, grouping):
+            if grouping == "class" or row[grouping] != "all":
+                figures |= {f"{row[grouping]}_{key}": value for key, value in row.items() if key != grouping}
     figures |= {
-        f"reason_{why.replace(' ', '_')}": count for why, count in outcomes.count_reasons(rows).items()
+        f"reason_{reason.replace(' ', '_')}": count for reason, count in outcomes.count_reasons(rows).items()
     }
     return figures
 
@@ -270,25 +303,29 @@
 def _print_result(recording: Recording, options: LoadOptions) -> int:
     console = Console()
     summary = recording.details
-    names = list(traffic.TENANT_NAMES)
-    for by in ("class", "outcome"):
-        table = Table(title=f"by {by}", box=SIMPLE, pad_edge=False)
-        table.add_column(by)
-        columns = CLASS_COLUMNS if by == "class" else ("asked", "p50_ms", "p90_ms", "p99_ms", "p99_9_ms")
+    tenant_names = list(traffic.TENANT_NAMES)
+    for grouping in ("class", "outcome"):
+        table = Table(title=f"by {grouping}", box=SIMPLE, pad_edge=False)
+        table.add_column(grouping)
+        columns = (
+            CLASS_COLUMNS if grouping == "class" else ("asked", "p50_ms", "p90_ms", "p99_ms", "p99_9_ms")
+        )
         for column in columns:
             table.add_column(column.removesuffix("_ms").replace("_", " "), justify="right", no_wrap=True)
-        for row in outcomes.table(recording.rows, traffic.CLASSES, names, by):
+        for row in outcomes.table(recording.rows, traffic.CLASSES, tenant_names, grouping):
             if row["asked"]:
-                table.add_row(str(row[by]), *(_cell(row.get(column, "")) for column in columns))
+                table.add_row(str(row[grouping]), *(_cell(row.get(column, "")) for column in columns))
         console.print(table)
-    late = f"p99 {summary['late_p99_ms']} ms, at most {summary['late_most_ms']} ms late"
-    console.print(f"{summary['sent']} of {summary['intended']} sent, {late}; arrivals {summary['digest']}")
+    lateness = f"p99 {summary['late_p99_ms']} ms, at most {summary['late_most_ms']} ms late"
+    console.print(
+        f"{summary['sent']} of {summary['intended']} sent, {lateness}; arrivals {summary['digest']}"
+    )
     for note in summary.get("notes", []):
         console.print(f"note: {note}")
-    for fault in recording.void_reasons():
-        console.print(f"VOID: {fault}")
-    for broken in summary.get("broken", []):
-        console.print(f"rule broken: {broken}")
+    for reason in recording.void_reasons():
+        console.print(f"VOID: {reason}")
+    for violation in summary.get("broken", []):
+        console.print(f"rule violated: {violation}")
     if options.path:
         Path(options.path).write_text(json.dumps(flat_figures(recording), indent=1) + "\n")
     if options.record:
--- a/spindlerelay/cli/members.py
+++ b/spindlerelay/cli/members.py
@@ -1,4 +1,4 @@
-"""``members``: prints a node's view of the cluster, read at its management address."""
+"""The command ``members``: prints a node's view of the cluster, read from its management address."""
 
 from __future__ import annotations
 
@@ -17,36 +17,40 @@
 
 
 def fetch_json(address: str, path: str) -> Any:
-    """The JSON that a node tells under a path. ``Fault`` in one line where it does not."""
+    """Return the JSON that a node serves at a path of its management address.
+
+    Raises:
+        CommandError: The address is invalid, or the node sends no valid JSON.
+    """
     try:
         host, port = parse_management_address(address)
     except ValueError as error:
-        raise CommandError(f"{address}: no address of a node's management; expected {error}") from None
+        raise CommandError(f"{address}: not a management address; expected {error}") from None
     try:
-        with urllib.request.urlopen(f"http://{host}:{port}{path}", timeout=TIMEOUT_S) as reply:
-            return ujson.loads(reply.read())
+        with urllib.request.urlopen(f"http://{host}:{port}{path}", timeout=TIMEOUT_S) as response:
+            return ujson.loads(response.read())
     except urllib.error.HTTPError as error:
         detail = error.read().decode("utf-8", "replace").strip()
-        hint = "is the feature in the operator's file?"
+        hint = "check that the operator's file enables the feature"
         raise CommandError(f"{address}: {path}: {error.code}: {detail}; {hint}") from None
     except (OSError, ValueError) as error:
-        raise CommandError(f"{address}: {path}: no answer that can be read: {error}") from None
+        raise CommandError(f"{address}: {path}: no readable response: {error}") from None
 
 
 @click.command()
 @click.argument("where", metavar="HOST:PORT")
-@click.option("--json", "as_json", is_flag=True, help="As JSON, with the node's own figures.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON, with the figures of the node itself.")
 def members(where: str, as_json: bool) -> int:
-    """Print the view of the other nodes that the node with its management at HOST:PORT has."""
+    """Print the cluster members as seen by the node with the management address HOST:PORT."""
     view = fetch_json(where, "/control/members")
     if as_json:
         click.echo(ujson.dumps(view, indent=1, escape_forward_slashes=False))
         return 0
     rows = [COLUMNS, *([str(row[key]) for key in COLUMNS] for row in view["members"])]
-    widths = [max(len(row[place]) for row in rows) for place in range(len(COLUMNS))]
+    widths = [max(len(row[column]) for row in rows) for column in range(len(COLUMNS))]
     for row in rows:
         click.echo("  ".join(text.ljust(width) for text, width in zip(row, widths, strict=True)).rstrip())
-    living = sum(row["status"] == "alive" for row in view["members"])
-    others = f"{living} of {len(view['members'])} others alive"
-    click.echo(f"{view['name']}: {others}, own weight {view['weight']}")
+    alive_count = sum(row["status"] == "alive" for row in view["members"])
+    summary = f"{alive_count} of {len(view['members'])} other nodes alive"
+    click.echo(f"{view['name']}: {summary}, own weight {view['weight']}")
     return 0
--- a/spindlerelay/cli/report.py
+++ b/spindlerelay/cli/report.py
@@ -1,4 +1,4 @@
-"""``report``: one page of a recorded run, or of an experiment's database."""
+"""The command ``report``: writes an HTML page about a recorded run or an experiment."""
 
 from __future__ import annotations
 
@@ -16,41 +16,47 @@
 @click.command()
 @click.argument("source", type=click.Path())
 @click.option("--out", default="report.html", show_default=True, type=click.Path(dir_okay=False))
-@click.option("--experiment", help="Which one, where the database holds several.")
-@click.option("--csv", "folder", type=click.Path(file_okay=False), help="Write the tables there.")
-@click.option("--json", "path", type=click.Path(dir_okay=False), help="Write the tables there, too.")
-@click.option("--plots", type=click.Path(file_okay=False), help="Write the pictures there as PNG, too.")
+@click.option("--experiment", help="Name of the experiment; needed if the database holds several.")
+@click.option(
+    "--csv", "folder", type=click.Path(file_okay=False), help="Also write the tables to this folder, as CSV."
+)
+@click.option(
+    "--json", "path", type=click.Path(dir_okay=False), help="Also write the tables to this file, as JSON."
+)
+@click.option(
+    "--plots", type=click.Path(file_okay=False), help="Also write the plots to this folder, as PNG."
+)
 def report(
     source: str, out: str, experiment: str | None, folder: str | None, path: str | None, plots: str | None
 ) -> int:
-    """Make a page of SOURCE.
+    """Write an HTML report of SOURCE.
 
-    SOURCE is a recording of 'load --record', a database of 'experiment', or the course of
-    'drill processes --course'.
+    SOURCE is a recording of 'load --record', a database of 'experiment', or the file that
+    'drill processes --course' writes.
     """
     try:
-        page = _page_of(source, experiment)
-        page.write(out, folder or "", path or "", plots or "")
+        created_report = _create_report(source, experiment)
+        created_report.write(out, folder or "", path or "", plots or "")
     except (ResultsError, ValueError) as error:
         raise CommandError(str(error)) from None
     except OSError as error:
         raise CommandError(f"{error.filename}: {error.strerror}") from None
-    for line in page.verdicts:
+    for line in created_report.verdicts:
         click.echo(line)
     click.echo(out)
     return 0
 
 
-def _page_of(source: str, experiment: str | None) -> reports.Report:
-    data = Path(source).read_bytes()[:16]
-    if data.startswith(b"{"):
+def _create_report(source: str, experiment: str | None) -> reports.Report:
+    head = Path(source).read_bytes()[:16]
+    if head.startswith(b"{"):
         try:
             return fleet.report_on_course(
                 f"Drill {Path(source).stem}", Path(source).read_text(encoding="utf-8")
             )
         except ValueError as error:
             raise CommandError(f"{source}: {error}") from None
-    if not data.startswith(b"SQLite format 3"):
+    if not head.startswith(b"SQLite format 3"):
         try:
             recording = Recording.from_bytes(Path(source).read_bytes())
         except ValueError:
@@ -59,7 +65,9 @@
     results = Results(source, must_exist=True)
     names = results.experiments()
     if experiment is None and len(names) != 1:
-        raise CommandError(f"{source}: give --experiment, one of {', '.join(names) or 'none that is there'}")
+        raise CommandError(
+            f"{source}: give --experiment; the database holds {', '.join(names) or 'no experiment'}"
+        )
     name = experiment or names[0]
     if name not in names:
         raise CommandError(f"{source}: no experiment {name!r}; known: {', '.join(names)}")
--- a/spindlerelay/cli/simulate.py
+++ b/spindlerelay/cli/simulate.py
@@ -1,4 +1,4 @@
-"""``simulate``: one seed of the world, played with its last events, and shrunk where it breaks something."""
+"""The command ``simulate``: runs a simulation from one seed and prints its last events and violations."""
 
 from __future__ import annotations
 
@@ -7,23 +7,29 @@
 
 @click.command()
 @click.argument("seed", type=click.IntRange(0))
-@click.option("--shrink", is_flag=True, help="Leave out faults while the violation stays.")
-@click.option("--events", default=40, show_default=True, type=click.IntRange(0), help="Last events to tell.")
+@click.option("--shrink", is_flag=True, help="Remove faults as long as the violation remains.")
+@click.option(
+    "--events", default=40, show_default=True, type=click.IntRange(0), help="Number of last events to print."
+)
 def simulate(seed: int, shrink: bool, events: int) -> int:
-    """Play SEED in virtual time; status 1 where it breaks a rule. The same seed is the same run."""
+    """Simulate SEED in virtual time; exit status 1 if a rule is violated.
+
+    The same seed gives the same run.
+    """
     from spindlerelay.testbed.simulation import fault_schedule, scenario_player
 
-    plan = fault_schedule.draw(seed)
+    schedule = fault_schedule.draw(seed)
     if shrink:
-        plan = scenario_player.shrink(plan)
-    done = scenario_player.play(plan)
-    click.echo(f"seed {seed}: {plan.summary()}")
-    took = f"{done.virtual_s:.1f} s in {done.cpu_s:.1f}"
+        schedule = scenario_player.shrink(schedule)
+    result = scenario_player.play(schedule)
+    click.echo(f"seed {seed}: {schedule.summary()}")
+    duration = f"{result.virtual_s:.1f} s in {result.cpu_s:.1f}"
     click.echo(
-        f"{done.requests} requests, worth {done.weighted_success_ratio:.3f}, {took}, digest {done.digest}"
+        f"{result.requests} requests, worth {result.weighted_success_ratio:.3f}, "
+        f"{duration}, digest {result.digest}"
     )
-    for line in done.recent_events[-events:] if events else ():
+    for line in result.recent_events[-events:] if events else ():
         click.echo(line)
-    for violation in done.violations:
+    for violation in result.violations:
         click.echo(f"violation: {violation}")
-    return 1 if done.violations else 0
+    return 1 if result.violations else 0
--- a/spindlerelay/cli/state.py
+++ b/spindlerelay/cli/state.py
@@ -1,4 +1,4 @@
-"""``state``: shows, verifies or compacts a persistence folder, without a running node."""
+"""The command ``state``: shows, verifies or compacts a storage directory without a running node."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 import ujson
 
 from spindlerelay.cli import CommandError
-from spindlerelay.storage import journal_directory as folders
+from spindlerelay.storage import journal_directory as journals
 from spindlerelay.storage import records
 from spindlerelay.storage.journal_directory import JournalDirectory
 from spindlerelay.storage.records import UnusableStorageError
 
 T = TypeVar("T")
-FOREVER_MS = 1e15
+NO_BINDING_LIMIT_MS = 1e15
 NO_RESULT_LIMIT_BYTES = 1 << 40
 node_option = click.option(
     "--node", required=True, help="The node's name, as in the platform's configuration."
 )
-json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 folder_argument = click.argument("folder", type=click.Path(exists=True, file_okay=False))
 
 
@@ -53,24 +53,30 @@
 @node_option
 @json_option
 def show(folder: str, node: str, as_json: bool) -> int:
-    """Show what the folder holds: orders, results and the learned state."""
-    now = time.time() * 1000.0
-    replayed = _with_reported_errors(folder, lambda: JournalDirectory(folder, node, lock=False).load()[0])
-    live, _ = replayed.bound_requests(now, FOREVER_MS)
-    learned = replayed.learned_record or {}
+    """Show the contents of the folder: keyed requests, results and the learned state."""
+    now_ms = time.time() * 1000.0
+    replayed_state = _with_reported_errors(
+        folder, lambda: JournalDirectory(folder, node, lock=False).load()[0]
+    )
+    bound_requests, _ = replayed_state.bound_requests(now_ms, NO_BINDING_LIMIT_MS)
+    learned_record = replayed_state.learned_record or {}
     _print_rows(
         {
-            "orders": len(replayed.completed_requests),
-            "orders bound": len(live),
-            "with a result": sum(request.result is not None for request in live.values()),
-            "result bytes": sum(len(request.result or b"") for request in live.values()),
+            "orders": len(replayed_state.completed_requests),
+            "orders bound": len(bound_requests),
+            "with a result": sum(request.result is not None for request in bound_requests.values()),
+            "result bytes": sum(len(request.result or b"") for request in bound_requests.values()),
             "last bound for s": round(
-                max((request.bound_until_ms - now for request in live.values()), default=0.0) / 1000.0, 1
+                max((request.bound_until_ms - now_ms for request in bound_requests.values()), default=0.0)
+                / 1000.0,
+                1,
             ),
-            "learnt s ago": round((now - learned["at"]) / 1000.0, 1) if "at" in learned else "never",
-            "running limit": learned.get("limit", "none"),
-            "call ms": learned.get("call_ms", "none"),
-            "fingerprint": learned.get("of", "none"),
+            "learnt s ago": round((now_ms - learned_record["at"]) / 1000.0, 1)
+            if "at" in learned_record
+            else "never",
+            "running limit": learned_record.get("limit", "none"),
+            "call ms": learned_record.get("call_ms", "none"),
+            "fingerprint": learned_record.get("of", "none"),
         },
         as_json,
     )
@@ -82,20 +88,25 @@
 @node_option
 @json_option
 def verify(folder: str, node: str, as_json: bool) -> int:
-    """Read every file; status 1 where a record is damaged. A torn tail, as after a kill, is none."""
-    store = JournalDirectory(folder, node, lock=False)
+    """Read every file; exit status 1 if a record is damaged.
+
+    A torn last record, as a killed process leaves it, does not count as damaged.
+    """
+    directory = JournalDirectory(folder, node, lock=False)
     rows: dict[str, Any] = {}
     damaged = 0
-    for kind, generation in _with_reported_errors(folder, store.files):
-        reading = _with_reported_errors(folder, partial(store.read, kind, generation))
-        complete = kind == records.FileKind.JOURNAL or reading.is_complete
+    for kind, generation in _with_reported_errors(folder, directory.files):
+        contents = _with_reported_errors(folder, partial(directory.read, kind, generation))
+        is_complete = kind == records.FileKind.JOURNAL or contents.is_complete
         damaged += (
-            reading.damaged_records + (not complete) + (reading.header is None and reading.torn_bytes > 0)
+            contents.damaged_records
+            + (not is_complete)
+            + (contents.header is None and contents.torn_bytes > 0)
         )
         name = f"{'journal' if kind == records.FileKind.JOURNAL else 'snapshot'} {generation}"
-        rows[name] = (f"layout {reading.header.version}, " if reading.header else "no header, ") + (
-            f"{len(reading.records)} records, {reading.damaged_records} damaged, "
-            f"{reading.torn_bytes} bytes torn" + ("" if complete else ", not whole")
+        rows[name] = (f"layout {contents.header.version}, " if contents.header else "no header, ") + (
+            f"{len(contents.records)} records, {contents.damaged_records} damaged, "
+            f"{contents.torn_bytes} bytes torn" + ("" if is_complete else ", not whole")
         )
     _print_rows(rows or {"files": 0}, as_json)
     return 1 if damaged else 0
@@ -106,23 +117,30 @@
 @node_option
 @json_option
 def compact(folder: str, node: str, as_json: bool) -> int:
-    """Replace all files by one snapshot of what still binds. The node must not run."""
+    """Replace all files by one snapshot of the keys that are still bound. The node must not be running."""
 
     def compact_folder() -> dict[str, Any]:
-        store = JournalDirectory(folder, node)
-        now = time.time() * 1000.0
+        directory = JournalDirectory(folder, node)
+        now_ms = time.time() * 1000.0
         try:
-            bytes_before = store.total_bytes()
-            replayed, _ = store.load()
-            live, _ = replayed.bound_requests(now, FOREVER_MS)
-            bodies = folders.snapshot_records(
-                list(live), live.get, lambda: replayed.learned_record, NO_RESULT_LIMIT_BYTES
+            bytes_before = directory.total_bytes()
+            replayed_state, _ = directory.load()
+            bound_requests, _ = replayed_state.bound_requests(now_ms, NO_BINDING_LIMIT_MS)
+            snapshot = journals.snapshot_records(
+                list(bound_requests),
+                bound_requests.get,
+                lambda: replayed_state.learned_record,
+                NO_RESULT_LIMIT_BYTES,
             )
-            for _step in store.compact(bodies, now):
+            for _step in directory.compact(snapshot, now_ms):
                 pass
-            return {"bytes before": bytes_before, "bytes after": store.total_bytes(), "orders": len(live)}
+            return {
+                "bytes before": bytes_before,
+                "bytes after": directory.total_bytes(),
+                "orders": len(bound_requests),
+            }
         finally:
-            store.close()
+            directory.close()
 
     _print_rows(_with_reported_errors(folder, compact_folder), as_json)
     return 0
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -148,7 +148,7 @@
         (("load", "--echo", "1", "--rate", "1e9"), "a lower rate or a shorter run"),
         (("experiment", "nowhere.toml"), "nowhere.toml: No such file"),
         (("trace", "show", "README.md"), "README.md:1: not JSON"),
-        (("trace", "import", "README.md", "--out", "x"), "README.md: its name tells no format"),
+        (("trace", "import", "README.md", "--out", "x"), "README.md: unknown file name suffix"),
     ],
 )
 def test_bad_input_exits_with_one_line_and_status_2(words: tuple[str, ...], told: str) -> None:
--- a/tests/test_udp_transport.py
+++ b/tests/test_udp_transport.py
@@ -78,7 +78,7 @@
         assert rejected == {"not MessagePack": 2, "another version": 1, "another cluster": 1}
         command = [*first.command()[:3], "members", management[0]]
         shown = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
-        assert shown.returncode == 0 and "m1" in shown.stdout and "1 of 1 others alive" in shown.stdout
+        assert shown.returncode == 0 and "m1" in shown.stdout and "1 of 1 other nodes alive" in shown.stdout
         second.process.kill()
         wait_for(lambda: members_page()["members"][0]["status"] == "dead")
     bad = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S, check=False)
