--- a/spindlerelay/testbed/servers/balancer_connections.py
+++ b/spindlerelay/testbed/servers/balancer_connections.py
@@ -1,7 +1,7 @@
 """The connections of one emulated balancer to the nodes, on the event loop.
 
-Owns connections, multiplexing and the queue for a free one. The bytes are up to a protocol of
-``balancer_protocols``; the choice of a node is up to the caller.
+This module manages the connections, multiplexes requests on them, and queues requests while no connection has
+capacity. A protocol of ``balancer_protocols`` encodes and decodes messages; the caller selects the node.
 """
 
 from __future__ import annotations
@@ -15,18 +15,22 @@
 from spindlerelay.transport.connection import connect
 from spindlerelay.transport.event_loop import EventLoop
 
-MAX_OPEN_REQUESTS = 8  # on one connection; the protocol allows 32
-MAX_CONNECTIONS = 256  # to one node: further requests wait for a response on one of them
+MAX_OPEN_REQUESTS = 8  # requests in flight per connection; the protocol allows 32
+MAX_CONNECTIONS = 256  # connections per node; further requests are queued until a response frees capacity
 IDLE_TIMEOUT_MS = 4000.0
-CROSSING_MS = 50.0  # by the protocol, a request that crosses a close after a goaway is resent once
-LATE_TURN_MEMORY_MS = 1000.0  # for which a late turn of this process extends the time above
-LATE_TURNS_PER_GOAWAY = 2.0  # where the caller writes, and where this module reads
+# A request that is submitted less than this time before a close after a goaway may have crossed the close. By
+# the protocol, the request is then resent once.
+MAX_CROSSING_MS = 50.0
+# Time for which a late turn of this process extends MAX_CROSSING_MS.
+LATE_TURN_MEMORY_MS = 1000.0
+# A late turn can delay a request twice: when the caller writes it, and when this module reads the goaway.
+LATE_TURNS_PER_GOAWAY = 2.0
 
 
-class _Pending(NamedTuple):
-    """A request without a response, and who gets it."""
+class _PendingRequest(NamedTuple):
+    """A request that has no response yet, with the callback that receives the response."""
 
-    call: str
+    call_id: str
     method: str
     fields: dict[str, str]
     body: bytes
@@ -36,21 +40,21 @@
 
 
 class _NodeConnection:
-    """One connection, with requests in flight by their message numbers."""
+    """One connection to a node, with its requests in flight by message number."""
 
     def __init__(self, owner: BalancerConnections, node: str, address: tuple[str, int]) -> None:
         self.owner = owner
         self.node = node
         self.protocol = owner.protocol()
-        self.in_flight: dict[int, _Pending] = {}
+        self.in_flight: dict[int, _PendingRequest] = {}
         self.last_number = 0
         self.last_used = owner.loop.now()
         self.connected = False
         self.going_away = False
         self.connection = connect(owner.loop, address, self._data, self._closed, self._opened)
 
-    def send(self, pending: _Pending) -> None:
-        """Send a request, at once or when the connection is up."""
+    def send(self, pending: _PendingRequest) -> None:
+        """Send a request, at once or as soon as the connection is established."""
         self.last_number += 1
         self.last_used = self.owner.loop.now()
         self.in_flight[self.last_number] = pending
@@ -62,9 +66,9 @@
         for number, pending in self.in_flight.items():
             self._write(number, pending)
 
-    def _write(self, number: int, pending: _Pending) -> None:
+    def _write(self, number: int, pending: _PendingRequest) -> None:
         self.connection.write(self.protocol.request(number, pending.method, pending.fields, pending.body))
-        self.owner.on_written(pending.call)
+        self.owner.on_written(pending.call_id)
 
     def _data(self, data: bytes) -> None:
         try:
@@ -77,15 +81,15 @@
             if number is None:
                 self.going_away = True
             else:
-                self._responded(number, response)
+                self._handle_response(number, response)
         if self.going_away and not self.in_flight:
             self.connection.close()
 
-    def _responded(self, number: int, response: Response) -> None:
+    def _handle_response(self, number: int, response: Response) -> None:
         pending = self.in_flight.pop(number, None)
         self.last_used = self.owner.loop.now()
         if pending is None:
-            self.owner.on_stray(self.node, number)
+            self.owner.on_unmatched_response(self.node, number)
             return
         self.owner.send_next_queued(self)
         pending.on_end(response)
@@ -106,8 +110,9 @@
 class BalancerConnections:
     """All connections of one balancer.
 
-    ``on_written(call)`` is called when a request is written to its connection,
-    ``on_stray(node, number)`` for a response to no request.
+    ``on_written(call_id)`` is called when a request is written to its connection.
+    ``on_unmatched_response(node, number)`` is called for a response whose message number matches no request
+    in flight.
     """
 
     def __init__(
@@ -115,7 +120,7 @@
         loop: EventLoop,
         address_of: Callable[[str], tuple[str, int]],
         on_written: Callable[[str], None],
-        on_stray: Callable[[str, int], None],
+        on_unmatched_response: Callable[[str, int], None],
         protocol: Callable[[], BalancerProtocol] = MessagePackRpc,
         max_open_requests: int = MAX_OPEN_REQUESTS,
         max_connections: int = MAX_CONNECTIONS,
@@ -123,69 +128,73 @@
         self.loop = loop
         self.address_of = address_of
         self.on_written = on_written
-        self.on_stray = on_stray
+        self.on_unmatched_response = on_unmatched_response
         self.protocol = protocol
         self.max_open_requests = max_open_requests
         self.max_connections = max_connections
         self.by_node: dict[str, list[_NodeConnection]] = {}
-        self._queued: dict[str, deque[_Pending]] = {}  # by node, for a connection; their time runs
-        self._late_turn = (0.0, 0.0)  # when this process last came late to its turn, and by how many ms
+        # Requests by node that wait for capacity on a connection; their deadlines include this wait.
+        self._queued: dict[str, deque[_PendingRequest]] = {}
+        self._late_turn = (0.0, 0.0)  # time of the last late turn of this process, and its delay in ms
 
     def send_request(
         self,
         node: str,
-        call: str,
+        call_id: str,
         method: str,
         fields: dict[str, str],
         body: bytes,
         on_end: Callable[[Response], None],
     ) -> None:
-        """Send one request to a node; ``on_end`` is called once."""
-        self.submit(node, _Pending(call, method, fields, body, on_end, self.loop.now(), False))
+        """Send one request to a node; ``on_end`` is called once, unless ``close`` drops a queued request."""
+        self.submit(node, _PendingRequest(call_id, method, fields, body, on_end, self.loop.now(), False))
 
-    def submit(self, node: str, pending: _Pending) -> None:
-        """Send a request on the node's least used connection, a new one, or after queueing."""
+    def submit(self, node: str, pending: _PendingRequest) -> None:
+        """Send a request on the node's connection with the fewest requests in flight.
+
+        If no connection has capacity, open a new one; at the limit of connections, queue the request.
+        """
         connections = self.by_node.setdefault(node, [])
-        best: _NodeConnection | None = None
+        least_used: _NodeConnection | None = None
         for connection in connections:
-            count = len(connection.in_flight)
-            if not connection.going_away and count < (
-                len(best.in_flight) if best else self.max_open_requests
+            in_flight_count = len(connection.in_flight)
+            if not connection.going_away and in_flight_count < (
+                len(least_used.in_flight) if least_used else self.max_open_requests
             ):
-                best = connection
-                if not count:
+                least_used = connection
+                if not in_flight_count:
                     break
-        if best is None:
+        if least_used is None:
             if len(connections) >= self.max_connections:
                 self._queued.setdefault(node, deque()).append(pending)
                 return
-            best = _NodeConnection(self, node, self.address_of(node))
-            connections.append(best)
-        best.send(pending)
+            least_used = _NodeConnection(self, node, self.address_of(node))
+            connections.append(least_used)
+        least_used.send(pending)
 
     def record_late_turn(self, now: float, late_ms: float) -> None:
-        """Record that this process came to its turn so many ms too late."""
-        recent = self._late_turn[1] if now - self._late_turn[0] < LATE_TURN_MEMORY_MS else 0.0
-        self._late_turn = (now, max(late_ms, recent))
+        """Record that a turn of this process started ``late_ms`` too late."""
+        recent_late_ms = self._late_turn[1] if now - self._late_turn[0] < LATE_TURN_MEMORY_MS else 0.0
+        self._late_turn = (now, max(late_ms, recent_late_ms))
 
     def crossed_close(self, submitted_at: float) -> bool:
-        """Return whether a close that is read now crossed a request of that time.
+        """Return whether a close that is read now may have crossed a request submitted at ``submitted_at``.
 
-        Real balancers read a goaway at once, so the time by which this process was late does not count.
+        Real balancers read a goaway at once, so the delay of this process's own late turns is not counted.
         """
         now = self.loop.now()
-        recent = now - self._late_turn[0] < LATE_TURN_MEMORY_MS
-        allowance = LATE_TURNS_PER_GOAWAY * self._late_turn[1] if recent else 0.0
-        return now - submitted_at < CROSSING_MS + allowance
+        is_recent = now - self._late_turn[0] < LATE_TURN_MEMORY_MS
+        allowance_ms = LATE_TURNS_PER_GOAWAY * self._late_turn[1] if is_recent else 0.0
+        return now - submitted_at < MAX_CROSSING_MS + allowance_ms
 
     def send_next_queued(self, connection: _NodeConnection) -> None:
-        """Use a connection that has capacity again."""
+        """Send the node's next queued request on a connection that has capacity again."""
         queue = self._queued.get(connection.node)
         if queue and not connection.going_away:
             connection.send(queue.popleft())
 
     def remove(self, connection: _NodeConnection) -> None:
-        """Remove a closed connection, and submit again what was queued for its node."""
+        """Remove a closed connection, and resubmit the requests that were queued for its node."""
         if connection in self.by_node.get(connection.node, []):
             self.by_node[connection.node].remove(connection)
         for pending in self._queued.pop(connection.node, ()):
@@ -196,12 +205,12 @@
         return sum(map(len, self.by_node.values()))
 
     def break_connections(self, node: str) -> None:
-        """Break all connections to a node, as a network would."""
+        """Close all connections to a node, as a network failure would."""
         for connection in list(self.by_node.get(node, [])):
             connection.connection.close()
 
     def tick(self, now: float) -> None:
-        """Close connections that have been idle for too long."""
+        """Close connections that have been idle for longer than ``IDLE_TIMEOUT_MS``."""
         for connections in list(self.by_node.values()):
             for connection in list(connections):
                 if not connection.in_flight and now - connection.last_used > IDLE_TIMEOUT_MS:
--- a/spindlerelay/testbed/servers/balancer_protocols.py
+++ b/spindlerelay/testbed/servers/balancer_protocols.py
@@ -1,6 +1,6 @@
-"""Client side of the balancers' protocols: bytes to responses and back, without sockets.
+"""Client side of the protocols between balancers and nodes, without I/O.
 
-One class a protocol; another protocol is another class with the methods of ``BalancerProtocol``.
+Each class implements ``BalancerProtocol``: it encodes the requests and decodes the responses of one protocol.
 """
 
 from __future__ import annotations
@@ -13,34 +13,38 @@
 from spindlerelay.testbed.models.retry_path import Response
 from spindlerelay.testbed.models.traffic import Request
 
-MAX_BUFFER_BYTES = 1 << 20  # of one connection's incomplete messages
-NOTIFICATION = 2  # the message type of a goaway
+MAX_BUFFER_BYTES = 1 << 20  # buffer for incomplete messages, per connection
+NOTIFICATION = 2  # MessagePack-RPC message type; the only notification is goaway
 
 
 class MalformedResponseError(SpindlerelayError, ValueError):
-    """A message that is not the protocol's."""
+    """A received message is not a valid response or notification of the protocol."""
 
     def __init__(self, message: Any) -> None:
-        super().__init__(f"not an answer: {str(message)[:80]}")
+        super().__init__(f"malformed response: {str(message)[:80]}")
         self.message = message
 
 
 class ReceivedMessage(NamedTuple):
-    """A response to request ``number``; for None the node asks to end the connection (goaway)."""
+    """A response to the request with message number ``number``.
+
+    A number of None stands for a goaway: the node asks the client to end the connection.
+    """
 
     number: int | None
     response: Response = Response("refused")
 
 
 def request_fields(
-    request: Request, call: str, balancer: int, received_at: float, remaining_ms: float, is_retry: bool
+    request: Request, call_id: str, balancer: int, received_at: float, remaining_ms: float, is_retry: bool
 ) -> dict[str, str]:
-    """Return the protocol's fields of a request.
+    """Return the fields of a request, as the protocol names them.
 
-    It came at ``received_at`` Unix ms and may take ``remaining_ms`` more.
+    ``received_at`` is the time in Unix ms at which the balancer received the request. ``remaining_ms`` is the
+    time left until its deadline.
     """
     fields = {
-        "call": call,
+        "call": call_id,
         "recv": f"{received_at:.0f}",
         "src": str(balancer),
         "org": request.tenant,
@@ -56,13 +60,17 @@
 
 
 class BalancerProtocol(Protocol):
-    """The client's state of one connection."""
+    """Codec of the client side of one connection; it may hold an incomplete message."""
 
     def request(self, number: int, method: str, fields: dict[str, str], body: bytes) -> bytes:
         """Encode a request."""
 
     def feed(self, data: bytes) -> list[ReceivedMessage]:
-        """Decode received bytes; ValueError for what is not the protocol."""
+        """Return the messages that the received bytes complete.
+
+        Raises:
+            ValueError: a message is malformed.
+        """
 
 
 class MessagePackRpc:
@@ -77,7 +85,11 @@
         return packed
 
     def feed(self, data: bytes) -> list[ReceivedMessage]:
-        """Decode received bytes; ValueError for what is not the protocol."""
+        """Return the messages that the received bytes complete.
+
+        Raises:
+            ValueError: a message is malformed.
+        """
         self._unpacker.feed(data)
         return [_decode(message) for message in self._unpacker]
 
--- a/spindlerelay/testbed/servers/counting_interpreter.py
+++ b/spindlerelay/testbed/servers/counting_interpreter.py
@@ -1,7 +1,7 @@
 """An emulated interpreter that counts runs, and a balancer's connection that records every response.
 
-For drills that check whether a request ran twice. Both use threads of their own and blocking sockets, apart
-from the event loop under test.
+Drills use them to check whether a request ran twice. Both use threads and blocking sockets, so that they do
+not depend on the event loop under test.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 from spindlerelay.testbed.servers.interpreter import block_length
 from spindlerelay.transport import line_protocol
 
-RESPONSE_TIMEOUT_S = 10.0  # for a connection or a response
-POLL_S = 0.01
+RESPONSE_TIMEOUT_S = 10.0  # timeout of connecting and of waiting for responses
+POLL_INTERVAL_S = 0.01
 RECEIVE_BYTES = 65536
 
 
 class CountingInterpreter:
-    """Counts the runs it is asked for, by class and body, across restarts of its node.
+    """An interpreter that counts the requested runs by class and body, across restarts of its node.
 
-    A run takes a random time up to ``max_run_s``; the result of one that outlives its connection is lost.
+    A run takes a random time up to ``max_run_s``. If the connection closes before a run ends, the result of
+    the run is lost.
     """
 
     def __init__(self, max_run_s: float = 0.0, seed: int = 1) -> None:
@@ -40,7 +41,7 @@
         threading.Thread(target=self._serve, daemon=True).start()
 
     def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self._listener.close()
 
     def _serve(self) -> None:
@@ -64,18 +65,20 @@
                     elif words[0] == "APPLY":
                         self._run(writer, words[1], words[2], block)
 
-    def _run(self, writer: _NoticeWriter, call: str, cls: str, block: bytes) -> None:
-        self.runs[(cls, block)] += 1
+    def _run(self, writer: _NoticeWriter, call_id: str, class_name: str, block: bytes) -> None:
+        self.runs[(class_name, block)] += 1
         if not self._max_run_s:
-            writer.send_result(call, block)
+            writer.send_result(call_id, block)
             return
-        timer = threading.Timer(self._random.uniform(0, self._max_run_s), writer.send_result, (call, block))
+        timer = threading.Timer(
+            self._random.uniform(0, self._max_run_s), writer.send_result, (call_id, block)
+        )
         timer.daemon = True
         timer.start()
 
 
 class _NoticeWriter:
-    """Writes the numbered notices of one connection; runs end on threads of their own."""
+    """Writes the numbered notices of one connection; a lock serializes the timer threads that end runs."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -86,18 +89,18 @@
         with self._lock:
             self._sock.sendall(line_protocol.encode_message("TOPS", tag, "0.5", "1", "0.1", "3"))
 
-    def send_result(self, call: str, block: bytes) -> None:
+    def send_result(self, call_id: str, block: bytes) -> None:
         with self._lock, contextlib.suppress(OSError):
             self._last_number += 1
             self._sock.sendall(
                 line_protocol.encode_message(
-                    "VALUE", self._last_number, call, "fine", "1.0", block=b"made " + block
+                    "VALUE", self._last_number, call_id, "fine", "1.0", block=b"made " + block
                 )
             )
 
 
 class RecordingClient:
-    """One balancer's connection; a thread of its own records every response."""
+    """A balancer's connection to a node; a reader thread records every response."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address, RESPONSE_TIMEOUT_S)
@@ -109,7 +112,7 @@
     def send_request(
         self, class_name: str, body: bytes, idempotency_key: str = "", is_retry: bool = False
     ) -> int:
-        """Send a request, with an idempotency key and a retry mark; return its message number."""
+        """Send a request, optionally with an idempotency key and a retry mark; return its message number."""
         self.last_number += 1
         fields = {
             "call": os.urandom(8).hex(),
@@ -141,11 +144,11 @@
         self.disconnected.set()
 
     def wait_for_responses(self) -> None:
-        """Wait until all is answered, the connection has ended, or ``RESPONSE_TIMEOUT_S`` is over."""
+        """Wait until every request is answered, the connection closes, or ``RESPONSE_TIMEOUT_S`` elapses."""
         deadline = time.monotonic() + RESPONSE_TIMEOUT_S
         while (
             len(self.responses) < self.last_number
             and time.monotonic() < deadline
             and not self.disconnected.is_set()
         ):
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
--- a/spindlerelay/testbed/servers/interpreter.py
+++ b/spindlerelay/testbed/servers/interpreter.py
@@ -1,4 +1,4 @@
-"""The emulated interpreter of one node on a socket: its line protocol over the model of a machine."""
+"""The emulated interpreter of one node on a socket: the interpreter's line protocol for a machine model."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from spindlerelay.transport.listener import Listener
 from spindlerelay.transport.system import Socket
 
-REPLAYED_NOTICES = 4000  # by the protocol
+MAX_REPLAYED_NOTICES = 4000  # number of stored notices that the protocol requires
 
 
 def block_length(words: list[str]) -> int | None:
-    """Return the bytes of the block that follows a command's line, None where none follows."""
+    """Return the length in bytes of the block that follows a command line, or None if no block follows."""
     if (words[0], len(words)) in (("APPLY", 4), ("RESOLVE", 3)):
         return line_protocol.parse_length(words[-1])
     return None
 
 
 class EmulatedInterpreter:
-    """Serves one node at a time.
+    """An interpreter that serves one node at a time.
 
-    Commands go to ``on_apply(call, cls, body)`` and ``on_resume(call, reply)``, where a reply of None skips
-    the dependency call. Notices are numbered, stored and replayed to a node that reconnects.
+    ``on_apply(call_id, class_name, body)`` is called when the node starts a run.
+    ``on_resume(call_id, reply)`` is called when the node resumes a run that waits for a dependency call; a
+    reply of None skips the call. Notices are numbered, stored and replayed to a node that reconnects.
     """
 
     def __init__(
@@ -40,10 +41,11 @@
         self._on_apply = on_apply
         self._on_resume = on_resume
         self.machine: Machine | None = None
-        self.connected = False  # the present node process has sent CONNECT
-        self.banner_delayed = False  # not up yet: connections are accepted, and the banner waits
-        self._acknowledged_number = 0  # the last notice that the node had read when it connected
-        self._notices: deque[tuple[int, bytes]] = deque(maxlen=REPLAYED_NOTICES)
+        self.connected = False  # whether the current node process has sent CONNECT
+        # Emulates an interpreter that is still starting: it accepts connections, but sends no banner.
+        self.banner_delayed = False
+        self._acknowledged_number = 0  # number of the last notice that the node had read when it connected
+        self._notices: deque[tuple[int, bytes]] = deque(maxlen=MAX_REPLAYED_NOTICES)
         self._last_number = 0
         self._connection: Connection | None = None
         self._decoder = line_protocol.LineDecoder(block_length)
@@ -51,7 +53,7 @@
         self.address: tuple[str, int] = self.listener.sock.getsockname()
 
     def restart(self, machine: Machine | None) -> None:
-        """Start anew for a new node process, or stop for None."""
+        """Discard all state for a new node process with this machine, or stop if ``machine`` is None."""
         self.machine = machine
         self.connected = False
         self._notices.clear()
@@ -59,19 +61,19 @@
         self.break_connection()
 
     def break_connection(self) -> None:
-        """Break the connection; runs go on, and notices are stored for the next connection."""
+        """Close the connection; runs continue, and notices are stored for the next connection."""
         connection = self._connection
         self._connection = None
         if connection:
             connection.close()
 
     def _accept(self, sock: Socket) -> None:
-        previous = self._connection
+        previous_connection = self._connection
         self._decoder = line_protocol.LineDecoder(block_length)
         connection = Connection(self._loop, sock, lambda data: self._data(connection, data), lambda _: None)
         self._connection = connection
-        if previous:
-            previous.close()
+        if previous_connection:
+            previous_connection.close()
 
     def _data(self, connection: Connection, data: bytes) -> None:
         if connection is not self._connection:
@@ -87,28 +89,28 @@
         if machine is None:
             return
         match words:
-            case ["CONNECT", last]:
+            case ["CONNECT", acknowledged_number]:
                 self.connected = True
-                self._acknowledged_number = int(last)
+                self._acknowledged_number = int(acknowledged_number)
                 if not self.banner_delayed:
                     self._send_banner(machine)
             case _ if self.banner_delayed:
-                return  # an interpreter that is not up drops what is written to it
+                return  # an interpreter that is still starting ignores commands
             case ["TOP", tag]:
                 self._write(
                     line_protocol.encode_message("TOPS", tag, *(f"{gauge:.4f}" for gauge in machine.gauges()))
                 )
-            case ["APPLY", call, cls, _]:
-                self._on_apply(call, cls, block)
-            case ["RESOLVE", call, _]:
-                self._on_resume(call, block)
-            case ["STUB", call, _]:
-                self._on_resume(call, None)
+            case ["APPLY", call_id, class_name, _]:
+                self._on_apply(call_id, class_name, block)
+            case ["RESOLVE", call_id, _]:
+                self._on_resume(call_id, block)
+            case ["STUB", call_id, _]:
+                self._on_resume(call_id, None)
             case _:
-                raise line_protocol.LineProtocolError("not a command")
+                raise line_protocol.LineProtocolError(f"unknown command: {words!r}")
 
     def release_banner(self) -> None:
-        """Answer the node that waits for the banner."""
+        """End the emulated start-up, and send the banner if the node is waiting for it."""
         self.banner_delayed = False
         if self.connected and self.machine:
             self._send_banner(self.machine)
@@ -130,13 +132,13 @@
         self._notices.append((self._last_number, data))
         self._write(data)
 
-    def send_run_ended(self, call: str, outcome: str, duration_ms: float, result: bytes) -> None:
-        """Send the end of a run, with its outcome and duration."""
-        self._notify("VALUE", call, outcome, f"{duration_ms:.1f}", block=result)
+    def send_run_ended(self, call_id: str, outcome: str, duration_ms: float, result: bytes) -> None:
+        """Notify the node that a run has ended, with its outcome, duration and result."""
+        self._notify("VALUE", call_id, outcome, f"{duration_ms:.1f}", block=result)
 
-    def send_run_waiting(self, call: str, body: bytes) -> None:
-        """Send that a run waits for a dependency call."""
-        self._notify("AWAIT", call, block=body)
+    def send_run_waiting(self, call_id: str, body: bytes) -> None:
+        """Notify the node that a run waits for a dependency call with the request body ``body``."""
+        self._notify("AWAIT", call_id, block=body)
 
     def close(self) -> None:
         """Close the connection and the listener."""
--- a/spindlerelay/testbed/servers/store.py
+++ b/spindlerelay/testbed/servers/store.py
@@ -1,4 +1,4 @@
-"""The emulated shared store on a socket: its line protocol over the model."""
+"""The emulated shared store on a socket: the store's line protocol for the model of a store."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from spindlerelay.transport.listener import Listener
 from spindlerelay.transport.system import Socket
 
-CALL_WORDS = 4
+CALL_WORDS = 4  # words in the line of a CALL command
 
 
 def block_length(words: list[str]) -> int | None:
-    """Return the bytes of the block that follows a command's line, None where none follows."""
+    """Return the length in bytes of the block that follows a command line, or None if no block follows."""
     return line_protocol.parse_length(words[3]) if len(words) == CALL_WORDS and words[0] == "CALL" else None
 
 
 def response_to(body: bytes) -> bytes:
-    """Return the response to a call; made of its body, so that a changed one shows."""
+    """Return the response to a call; it contains the call's body, so that a test detects a corrupted body."""
     return b"row of " + body
 
 
@@ -43,14 +43,14 @@
             self.connection.close()
 
     def _closed(self, opened: bool) -> None:
-        self.store.disconnected(self)
+        self.store.remove_client(self)
 
 
 class StoreServer:
     """Serves a ``SharedStore`` at an address.
 
-    ``work_of(call, body)`` returns a call's ms in an idle store, None where no run waits for it;
-    ``owner_of(call)`` by whom its calls are counted.
+    ``call_cost_ms(call_id, body)`` returns the duration of a call in an idle store, or None if no run waits
+    for the call. ``owner_of(call_id)`` returns the owner under which a call is counted.
     """
 
     def __init__(
@@ -58,16 +58,16 @@
         loop: EventLoop,
         address: tuple[str, int],
         model: SharedStore,
-        work_of: Callable[[str, bytes], float | None],
+        call_cost_ms: Callable[[str, bytes], float | None],
         owner_of: Callable[[str], str] = _no_owner,
     ) -> None:
         self.loop = loop
         self.model = model
-        self._work_of = work_of
+        self._call_cost_ms = call_cost_ms
         self._owner_of = owner_of
         self._calls: dict[str, tuple[_ClientConnection, bytes]] = {}
-        self.calls_in_flight: Counter[str] = Counter()  # calls in progress by owner
-        self.peak_calls: Counter[str] = Counter()  # their peak
+        self.calls_in_flight: Counter[str] = Counter()  # number of calls in progress by owner
+        self.peak_calls: Counter[str] = Counter()  # peak number of calls in progress by owner
         self._owners: dict[str, str] = {}
         self._clients: dict[_ClientConnection, None] = {}
         self.calls_received = 0
@@ -78,60 +78,64 @@
         self._clients[_ClientConnection(self, sock)] = None
 
     def handle_command(self, client: _ClientConnection, words: list[str], body: bytes) -> None:
-        """Take one command; LineError for what is not the protocol."""
+        """Handle one command of a client.
+
+        Raises:
+            LineProtocolError: the command is unknown.
+        """
         match words:
-            case ["CALL", call, _, _]:
+            case ["CALL", call_id, _, _]:
                 self.calls_received += 1
-                work = self._work_of(call, body)
-                if work is None:
-                    client.connection.write(line_protocol.encode_message(call, "VOID"))
+                cost_ms = self._call_cost_ms(call_id, body)
+                if cost_ms is None:
+                    client.connection.write(line_protocol.encode_message(call_id, "VOID"))
                     return
-                self._cancel(call)  # a second call for a request replaces the first
-                self._start_call(client, call, body, work)
-            case ["DROP", call]:
-                self._cancel(call)
+                self._cancel(call_id)  # a repeated call with the same id replaces the first one
+                self._handle_call(client, call_id, body, cost_ms)
+            case ["DROP", call_id]:
+                self._cancel(call_id)
             case _:
-                raise line_protocol.LineProtocolError("not a call")
+                raise line_protocol.LineProtocolError(f"unknown command: {words!r}")
 
-    def _start_call(self, client: _ClientConnection, call: str, body: bytes, work: float) -> None:
-        """Start a call, or give it the outcome of the model's fault."""
+    def _handle_call(self, client: _ClientConnection, call_id: str, body: bytes, cost_ms: float) -> None:
+        """Start a call, or answer it with the outcome of the model's active fault."""
         match self.model.next_call_outcome():
             case "busy":
-                client.connection.write(line_protocol.encode_message(call, "BUSY"))
+                client.connection.write(line_protocol.encode_message(call_id, "BUSY"))
             case "error":
-                client.connection.write(line_protocol.encode_message(call, "ERR"))
+                client.connection.write(line_protocol.encode_message(call_id, "ERR"))
             case "spoilt":
-                client.connection.write(b"%b OK nonsense\r\n" % call.encode())
+                client.connection.write(b"%b OK nonsense\r\n" % call_id.encode())
             case outcome:
-                self._reserve(client, call, body)
+                self._reserve(client, call_id, body)
                 if outcome == "take":
-                    self.complete_calls(self.model.start_call(self.loop.now(), call, work))
+                    self.complete_calls(self.model.start_call(self.loop.now(), call_id, cost_ms))
 
-    def _reserve(self, client: _ClientConnection, call: str, body: bytes) -> None:
-        owner = self._owner_of(call)
-        self._owners[call] = owner
-        self._calls[call] = (client, body)
+    def _reserve(self, client: _ClientConnection, call_id: str, body: bytes) -> None:
+        owner = self._owner_of(call_id)
+        self._owners[call_id] = owner
+        self._calls[call_id] = (client, body)
         self.calls_in_flight[owner] += 1
         self.peak_calls[owner] = max(self.peak_calls[owner], self.calls_in_flight[owner])
 
-    def _release(self, call: str) -> tuple[_ClientConnection, bytes] | None:
-        released = self._calls.pop(call, None)
+    def _release(self, call_id: str) -> tuple[_ClientConnection, bytes] | None:
+        released = self._calls.pop(call_id, None)
         if released:
-            self.calls_in_flight[self._owners.pop(call)] -= 1
+            self.calls_in_flight[self._owners.pop(call_id)] -= 1
         return released
 
-    def _cancel(self, call: str) -> None:
-        if self._release(call):
-            self.model.cancel_call(call)
+    def _cancel(self, call_id: str) -> None:
+        if self._release(call_id):
+            self.model.cancel_call(call_id)
 
-    def disconnected(self, client: _ClientConnection) -> None:
-        """Cancel the calls of a client that has disconnected."""
+    def remove_client(self, client: _ClientConnection) -> None:
+        """Remove a client that has disconnected, and cancel its calls."""
         self._clients.pop(client, None)
-        for call in [call for call, (caller, _) in self._calls.items() if caller is client]:
-            self._cancel(call)
+        for call_id in [call_id for call_id, (caller, _) in self._calls.items() if caller is client]:
+            self._cancel(call_id)
 
     def tick(self, now: float) -> None:
-        """Answer calls that have ended, and close or listen as the model goes down and up."""
+        """Answer calls that have ended; close the server when the model is down, and reopen it afterwards."""
         self.complete_calls(self.model.advance(now))
         if self.listener and not self.model.is_up(now):
             self.close()
@@ -140,14 +144,14 @@
             self.listener = Listener(self.loop, self.address, self._accept)
 
     def complete_calls(self, ended: list[str]) -> None:
-        """Answer calls that the model has ended."""
-        for call in ended:
-            if released := self._release(call):
+        """Answer the calls that have ended according to the model."""
+        for call_id in ended:
+            if released := self._release(call_id):
                 client, body = released
-                client.connection.write(line_protocol.encode_message(call, "OK", block=response_to(body)))
+                client.connection.write(line_protocol.encode_message(call_id, "OK", block=response_to(body)))
 
     def break_connections(self) -> None:
-        """Close all connections: the calls on them are given up."""
+        """Close all connections, which cancels their calls."""
         for client in list(self._clients):
             client.connection.close()
 
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -142,5 +142,5 @@
     "data", [b"\x94\x01\x01\xc0\xc0", b"\x93\x01\x01\xc0", b"\x07", b"\x94\x01\x01\x91\x01\xc0"]
 )
 def test_malformed_answer_raises_value_error(data: bytes) -> None:
-    with pytest.raises(ValueError, match="not an answer"):
+    with pytest.raises(ValueError, match="malformed response"):
         MessagePackRpc().feed(data)
