--- a/spindlerelay/testbed/load_generation/__init__.py
+++ b/spindlerelay/testbed/load_generation/__init__.py
@@ -1,1 +1,1 @@
-"""The load generator: open-loop arrivals, workers that send them, and what came of each request."""
+"""The load generator: open-loop arrivals, workers that send requests, and the outcome of each request."""
--- a/spindlerelay/testbed/load_generation/arrival_process.py
+++ b/spindlerelay/testbed/load_generation/arrival_process.py
@@ -1,8 +1,8 @@
-"""Open-loop arrivals: a curve of rates, and how arrivals are spaced along it.
+"""Open-loop arrivals: the curve of the arrival rate, and the spacing of the arrivals along it.
 
-Pure. A curve is a line through points of time and rate. Arrivals are drawn with a mean gap of 1 and then
-mapped onto the curve by the inverse of its integral, so that every spacing goes with every curve, and the
-number of arrivals follows the area under it (time rescaling: Daley and Vere-Jones, Point Processes, 7.4).
+Pure. A curve is a piecewise linear function of time. Arrivals are drawn with a mean gap of 1 and then mapped
+onto the curve by the inverse of its integral. Every spacing therefore works with every curve, and the number
+of arrivals follows the area under the curve (time rescaling: Daley and Vere-Jones, Point Processes, 7.4).
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 SPACINGS = ("poisson", "paced", "bursty")
 CURVES = ("steady", "ramp", "step", "burst", "daily")
-BURSTY_VARIATION = 3.0  # coefficient of variation of gaps, by a gamma distribution
+BURSTY_VARIATION = 3.0  # coefficient of variation of the gamma-distributed gaps
 BURST_COUNT = 4
-BURST_FRACTION = 0.25  # of each fourth of a run
+BURST_FRACTION = 0.25  # fraction of each of the BURST_COUNT periods of a run that is a burst
 STEP_COUNT = 4
-# Rate of each hour of the day as a fraction of the busiest hour's: offices are open from 8 to 18.
+# Arrival rate of each hour of the day, relative to the busiest hour; offices are open from 8 to 18.
 RATE_BY_HOUR = (
     *(0.08, 0.06, 0.05, 0.05, 0.06, 0.10, 0.20, 0.42),
     *(0.75, 0.95, 1.00, 0.97, 0.85, 0.70, 0.72, 0.80),
@@ -32,7 +32,7 @@
 
 
 class Point(NamedTuple):
-    """A rate a second at a time in ms; two points of one time are a jump."""
+    """An arrival rate per second at a time in ms; two points with the same time form a jump."""
 
     at_ms: float
     per_s: float
@@ -46,12 +46,12 @@
 
     Args:
         kind: one of ``CURVES``.
-        per_s: the rate at the begin, between bursts, or in a day's busiest hour.
-        to_per_s: the rate at the end of a ramp or of the steps, or in a burst.
-        length_ms: the length of the whole curve.
+        per_s: rate at the start, between bursts, or in the busiest hour of a day.
+        to_per_s: rate at the end of a ramp, in the last step, or in a burst.
+        length_ms: length of the whole curve.
 
     Raises:
-        UnknownNameError: for an unknown kind.
+        UnknownNameError: the kind is not one of ``CURVES``.
     """
     match kind:
         case "steady":
@@ -60,11 +60,11 @@
             return (Point(0.0, per_s), Point(length_ms, to_per_s))
         case "step":
             rates = [per_s + (to_per_s - per_s) * i / (STEP_COUNT - 1) for i in range(STEP_COUNT)]
-            return _steps([(length_ms / STEP_COUNT, rate) for rate in rates])
+            return _step_curve([(length_ms / STEP_COUNT, rate) for rate in rates])
         case "burst":
-            period = length_ms / BURST_COUNT
-            calm = period * (1.0 - BURST_FRACTION)
-            return _steps([(calm, per_s), (period - calm, to_per_s)] * BURST_COUNT)
+            period_ms = length_ms / BURST_COUNT
+            calm_ms = period_ms * (1.0 - BURST_FRACTION)
+            return _step_curve([(calm_ms, per_s), (period_ms - calm_ms, to_per_s)] * BURST_COUNT)
         case "daily":
             rates = [*RATE_BY_HOUR, RATE_BY_HOUR[0]]
             hours = len(RATE_BY_HOUR)
@@ -72,83 +72,92 @@
     raise UnknownNameError("curve", kind, CURVES)
 
 
-def _steps(steps: list[tuple[float, float]]) -> Curve:
-    """Return a curve of constant rates, from the length in ms and the rate of each step."""
+def _step_curve(steps: list[tuple[float, float]]) -> Curve:
+    """Return a curve of constant rates; a step is its length in ms and its rate per second."""
     points = list[Point]()
-    at = 0.0
-    for length, rate in steps:
-        points += [Point(at, rate), Point(at + length, rate)]
-        at += length
+    at_ms = 0.0
+    for length_ms, rate in steps:
+        points += [Point(at_ms, rate), Point(at_ms + length_ms, rate)]
+        at_ms += length_ms
     return tuple(points)
 
 
-def burst(base: Curve, start_ms: float, end_ms: float, times: float) -> Curve:
-    """Return the curve with ``times`` as high a rate between two times."""
-    edges = [start_ms, end_ms]
-    marks = sorted({point.at_ms for point in base} | {at for at in edges if at < base[-1].at_ms})
+def burst(base: Curve, start_ms: float, end_ms: float, factor: float) -> Curve:
+    """Return the curve with its rate multiplied by ``factor`` between two times."""
+    burst_edges_ms = [start_ms, end_ms]
+    boundaries_ms = sorted(
+        {point.at_ms for point in base} | {at for at in burst_edges_ms if at < base[-1].at_ms}
+    )
     points = list[Point]()
-    for left, right in zip(marks, marks[1:], strict=False):
-        factor = times if start_ms <= left and right <= end_ms else 1.0
+    for left, right in zip(boundaries_ms, boundaries_ms[1:], strict=False):
+        interval_factor = factor if start_ms <= left and right <= end_ms else 1.0
         points += [
-            Point(left, rate_at(base, left, True) * factor),
-            Point(right, rate_at(base, right, False) * factor),
+            Point(left, rate_at(base, left, True) * interval_factor),
+            Point(right, rate_at(base, right, False) * interval_factor),
         ]
     return tuple(points)
 
 
-def rate_at(line: Curve, at_ms: float, after: bool = True) -> float:
-    """Return the rate a second at a time; at a jump the one after it, or before it."""
-    for left, right in zip(line, line[1:], strict=False):
+def rate_at(rate_curve: Curve, at_ms: float, after: bool = True) -> float:
+    """Return the rate per second at a time; ``after`` selects the rate after or before a jump."""
+    for left, right in zip(rate_curve, rate_curve[1:], strict=False):
         if left.at_ms <= at_ms <= right.at_ms and left.at_ms < right.at_ms:
-            if after and at_ms == right.at_ms and right is not line[-1]:
+            if after and at_ms == right.at_ms and right is not rate_curve[-1]:
                 continue
             return left.per_s + (right.per_s - left.per_s) * (at_ms - left.at_ms) / (right.at_ms - left.at_ms)
     return 0.0
 
 
-def expected_arrivals(line: Curve) -> float:
-    """Return how many arrivals a curve stands for: the area under it."""
+def expected_arrivals(rate_curve: Curve) -> float:
+    """Return the expected number of arrivals, which is the area under the curve."""
     return sum(
         (right.at_ms - left.at_ms) / 1000.0 * (left.per_s + right.per_s) / 2.0
-        for left, right in zip(line, line[1:], strict=False)
+        for left, right in zip(rate_curve, rate_curve[1:], strict=False)
     )
 
 
-def draw_arrivals(seed: int, spacing: str, line: Curve) -> Times:
-    """Return the times of arrivals in ms from the start, in order.
+def draw_arrivals(seed: int, spacing: str, rate_curve: Curve) -> Times:
+    """Return the arrival times in ms from the start, in ascending order.
 
     The same seed gives the same times on every machine (PCG64).
 
     Raises:
-        UnknownNameError: for a spacing that is not one of ``SPACINGS``.
+        UnknownNameError: the spacing is not one of ``SPACINGS``.
     """
-    total = expected_arrivals(line)
+    total = expected_arrivals(rate_curve)
     if spacing == "paced":
-        marks = np.arange(math.floor(total + 1e-9), dtype=np.float64) + 0.5
+        arrivals = np.arange(math.floor(total + 1e-9), dtype=np.float64) + 0.5
     elif spacing in SPACINGS:
         rng = np.random.Generator(np.random.PCG64(seed))
         shape = 1.0 if spacing == "poisson" else 1.0 / BURSTY_VARIATION**2
-        marks = np.empty(0)
-        while not marks.size or marks[-1] < total:  # nearly always once
+        arrivals = np.empty(0)
+        while not arrivals.size or arrivals[-1] < total:  # the first pass nearly always suffices
             gaps = rng.gamma(shape, 1.0 / shape, int(total * 1.1) + 64)
-            marks = np.concatenate([marks, (marks[-1] if marks.size else 0.0) + np.cumsum(gaps)])
-        marks = marks[marks < total]
+            arrivals = np.concatenate([arrivals, (arrivals[-1] if arrivals.size else 0.0) + np.cumsum(gaps)])
+        arrivals = arrivals[arrivals < total]
     else:
         raise UnknownNameError("spacing", spacing, SPACINGS)
-    return _map_onto(marks, line)
-
-
-def _map_onto(marks: Times, line: Curve) -> Times:
-    """Return for each mark the time by which the curve stands for so many arrivals."""
-    at = np.array([point.at_ms for point in line]) / 1000.0
-    rate = np.array([point.per_s for point in line])
-    areas = np.concatenate([[0.0], np.cumsum(np.diff(at) * (rate[1:] + rate[:-1]) / 2.0)])
-    piece = np.clip(np.searchsorted(areas, marks, side="right") - 1, 0, len(line) - 2)
-    left = marks - areas[piece]
-    span = np.diff(at)[piece]
-    slope = np.divide(np.diff(rate)[piece], span, out=np.zeros_like(span), where=span > 0)
-    # Of r x + s x^2 / 2 = left the root that stays exact for a slope of 0 and for a rate of 0.
-    root = np.sqrt(np.maximum(0.0, rate[piece] ** 2 + 2.0 * slope * left))
-    below = rate[piece] + root
-    step = np.divide(2.0 * left, below, out=np.zeros_like(left), where=below > 0)
-    return np.asarray((at[piece] + np.minimum(step, span)) * 1000.0, dtype=np.float64)
+    return _rescale_to_curve(arrivals, rate_curve)
+
+
+def _rescale_to_curve(arrivals: Times, rate_curve: Curve) -> Times:
+    """Map arrivals of a unit-rate process to the times in ms at which the curve's integral reaches them."""
+    at_s = np.array([point.at_ms for point in rate_curve]) / 1000.0
+    rates = np.array([point.per_s for point in rate_curve])
+    cumulative_arrivals = np.concatenate([[0.0], np.cumsum(np.diff(at_s) * (rates[1:] + rates[:-1]) / 2.0)])
+    segment = np.clip(
+        np.searchsorted(cumulative_arrivals, arrivals, side="right") - 1, 0, len(rate_curve) - 2
+    )
+    remaining = arrivals - cumulative_arrivals[segment]
+    segment_length_s = np.diff(at_s)[segment]
+    slopes = np.divide(
+        np.diff(rates)[segment],
+        segment_length_s,
+        out=np.zeros_like(segment_length_s),
+        where=segment_length_s > 0,
+    )
+    # Solves rate * x + slope * x^2 / 2 = remaining in the form that stays exact for a slope or a rate of 0.
+    arrival_rates = np.sqrt(np.maximum(0.0, rates[segment] ** 2 + 2.0 * slopes * remaining))
+    denominator = rates[segment] + arrival_rates
+    offset_s = np.divide(2.0 * remaining, denominator, out=np.zeros_like(remaining), where=denominator > 0)
+    return np.asarray((at_s[segment] + np.minimum(offset_s, segment_length_s)) * 1000.0, dtype=np.float64)
--- a/spindlerelay/testbed/load_generation/echo_fleet.py
+++ b/spindlerelay/testbed/load_generation/echo_fleet.py
@@ -1,4 +1,4 @@
-"""Echo nodes as processes, for load runs that measure the load generator itself."""
+"""Echo nodes in separate processes, for load runs that measure the load generator itself."""
 
 from __future__ import annotations
 
@@ -20,14 +20,18 @@
 
 
 class EchoFleet:
-    """Echo nodes, each of which stalls at the given times after ``began``, on the steady clock in ms."""
+    """Echo nodes that all stall at the given times after the start of the run.
+
+    ``started_at`` shares the start of the run with the processes, in ms of the monotonic clock; it is 0 until
+    the run starts.
+    """
 
     def __init__(self, count: int, stalls: Sequence[echo_node.PlannedStall], ports: Sequence[int]) -> None:
-        self.started = spawn_context.Value("d", 0.0)
+        self.started_at = spawn_context.Value("d", 0.0)
         self.targets = tuple(Target(f"echo{i + 1}", ("127.0.0.1", ports[i])) for i in range(count))
         self._processes = [
             spawn_context.Process(
-                target=echo_node.serve, args=(port, tuple(stalls), self.started), daemon=True
+                target=echo_node.serve, args=(port, tuple(stalls), self.started_at), daemon=True
             )
             for port in ports[:count]
         ]
@@ -42,10 +46,10 @@
 
 
 def wait_until_reachable(targets: Sequence[Target]) -> None:
-    """Wait until all targets accept connections.
+    """Wait until every target accepts connections.
 
     Raises:
-        StartError: where one does not in time.
+        StartError: a target does not accept connections within ``START_TIMEOUT_S``.
     """
     deadline = time.monotonic() + START_TIMEOUT_S
     for target in targets:
--- a/spindlerelay/testbed/load_generation/errors.py
+++ b/spindlerelay/testbed/load_generation/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the load generator. Each is also the built-in exception that callers may catch."""
+"""Exceptions of the load generator; every class also derives from a built-in exception."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class UnknownNameError(SpindlerelayError, ValueError):
-    """A name that none of the known ones matches.
+    """A name is not one of the known names.
 
     Attributes:
-        kind: what it should name, such as ``curve``.
-        name: the name as given.
-        known: the names that there are.
+        kind: kind of thing that the name refers to, such as ``curve``.
+        name: unknown name.
+        known: known names.
     """
 
     def __init__(self, kind: str, name: str, known: Sequence[str]) -> None:
@@ -27,14 +27,14 @@
 
 
 class StreamSizeError(SpindlerelayError, ValueError):
-    """A stream that is empty or too long to be sent."""
+    """A stream is empty or too long to be sent."""
 
 
 class StartError(SpindlerelayError, RuntimeError):
-    """A process of a load run did not come up.
+    """A process of a load run did not start in time.
 
     Attributes:
-        process: a name of the process.
+        process: name of the process.
     """
 
     def __init__(self, process: str) -> None:
@@ -42,4 +42,4 @@
         self.process = process
 
     def __str__(self) -> str:
-        return f"{self.process} did not come up"
+        return f"{self.process} did not start in time"
--- a/spindlerelay/testbed/load_generation/load_run.py
+++ b/spindlerelay/testbed/load_generation/load_run.py
@@ -1,7 +1,7 @@
-"""A load run: workers as processes, their rows in one table, and whether the run counts.
+"""A load run: starts worker processes, joins their rows in one table, and decides whether the run is valid.
 
-Each worker draws the whole stream from the seed and sends its own part of it. Rows come as they are made: of
-a worker that dies, only the requests without a row are missing, and those are recorded as unsent.
+Each worker draws the whole stream from the seed and sends its own part of the stream. Workers report rows
+during the run. If a worker dies, only the requests without a row are missing; they are recorded as unsent.
 """
 
 from __future__ import annotations
@@ -29,21 +29,22 @@
 from spindlerelay.testbed.servers import echo_node
 from spindlerelay.transport.system import monotonic_ms
 
-SEND_DELAY_BOUND_MS = (
-    5.0  # of the send delay's p99: a quarter of the smallest latency that is read off a node
-)
-MAX_RUN_S = 3600.0  # of a run
-START_LEAD_MS = 250.0  # between the last worker's readiness and the first request
-LOOP_LEAD_MS = 2.0  # of a sender's first turn before the first request
-RESULT_TIMEOUT_S = 30.0  # past the stream's end and the longest deadline, after which a worker is given up
+# Bound of the p99 send delay of a valid run: a quarter of the smallest latency that is measured at a node.
+SEND_DELAY_BOUND_MS = 5.0
+MAX_RUN_S = 3600.0
+START_LEAD_MS = 250.0  # time from the readiness of the last worker to the first request
+LOOP_LEAD_MS = 2.0  # time from the first turn of a sender to the first request
+# A worker is given up at this time after the last arrival plus the longest deadline.
+RESULT_TIMEOUT_S = 30.0
 POLL_INTERVAL_S = 0.1
-SEED_STRIDE = 1000  # between the seeds of two streams' workers
+SEED_STRIDE = 1000  # offset between the worker seeds of two consecutive stream seeds
 
 
 class LoadSpec(NamedTuple):
-    """What a load run plays.
+    """The load of one run.
 
-    ``users`` above 0 sends as a closed loop of so many. ``kill`` kills a worker in mid-run: number and ms.
+    If ``users`` is above 0, the run is a closed loop with that number of users. ``kill_worker`` is the index
+    of a worker to kill and the time of the kill in ms from the start.
     """
 
     stream: Stream
@@ -56,7 +57,7 @@
 
 
 class LoadResult(NamedTuple):
-    """What came of a load run. ``digest`` is that of the stream."""
+    """The result of a load run; ``digest`` is the digest of the stream."""
 
     rows: Rows
     send_delay: SendDelay
@@ -65,20 +66,20 @@
     digest: str
 
     def void_reasons(self) -> list[str]:
-        """Return, in words, why the run is void; nothing where it counts."""
+        """Return the reasons why the run is void; the list is empty for a valid run."""
         reasons = self.send_delay.void_reasons()
         if self.lost_workers:
             reasons.append(f"{self.lost_workers} of the workers died in the run")
         return reasons
 
     def notes(self) -> list[str]:
-        """Return what a reader should know of a run that counts all the same."""
-        steps = sum(each.clock_steps for each in self.clock_reports)
+        """Return remarks that do not make the run void."""
+        steps = sum(report.clock_steps for report in self.clock_reports)
         if not steps:
             return []
-        widest = max(each.max_step_ms for each in self.clock_reports)
-        note = f"the system's clock was set {steps} times, by up to {widest:.0f} ms"
-        return [f"{note}; latencies are not on it"]
+        max_step_ms = max(report.max_step_ms for report in self.clock_reports)
+        note = f"the system's clock was set {steps} times, by up to {max_step_ms:.0f} ms"
+        return [f"{note}; latencies use the monotonic clock"]
 
 
 class _Worker(NamedTuple):
@@ -88,69 +89,75 @@
 
 class _WorkerResults(NamedTuple):
     rows: list[Rows]
-    told: list[ClockReport]
+    clock_reports: list[ClockReport]
     lost: int
 
 
-def work(spec: LoadSpec, number: int, pipe: Connection) -> None:
-    """Run one worker: the entry point of its process."""
-    orders = spec.stream.draw_requests()[number :: spec.workers]
+def run_worker(spec: LoadSpec, number: int, pipe: Connection) -> None:
+    """Run one worker; the entry point of its process."""
+    requests = spec.stream.draw_requests()[number :: spec.workers]
     loop = sender.create_loop()
     seed = spec.stream.seed * SEED_STRIDE + number
-    sending = sender.Sender(loop, orders, spec.targets, spec.balancers, pipe.send_bytes, seed, spec.users)
-    pipe.send(len(orders))
+    request_sender = sender.Sender(
+        loop, requests, spec.targets, spec.balancers, pipe.send_bytes, seed, spec.users
+    )
+    pipe.send(len(requests))
     started: float = pipe.recv()
     gc.collect()
     gc.freeze()
-    gc.disable()  # a run is bounded, and a collection among so many objects takes longer than a tick
-    loop.timers.schedule(started - LOOP_LEAD_MS, lambda: sending.begin(started))
+    # A run is bounded, and a collection over the objects of all requests takes longer than a tick.
+    gc.disable()
+    loop.timers.schedule(started - LOOP_LEAD_MS, lambda: request_sender.begin(started))
     loop.run(lambda: None)
     pipe.send_bytes(b"")
-    pipe.send(sending.clock_report())
+    pipe.send(request_sender.clock_report())
     pipe.close()
 
 
-def play(spec: LoadSpec, began: Any = None) -> LoadResult:
+def play(spec: LoadSpec, started_at: Any = None) -> LoadResult:
     """Play a run to its end.
 
-    The value of ``began``, a shared number, is set to the start on the steady clock: echo nodes stall by it.
+    The shared value ``started_at`` is set to the start of the run in ms of the monotonic clock; echo nodes
+    schedule their stalls by it.
 
     Raises:
-        StartError: where a worker does not come up.
-        StreamSizeError: where the stream is empty or too long.
-        TraceError: where its trace cannot be replayed.
+        StartError: a worker does not start in time.
+        StreamSizeError: the stream is empty or too long.
+        TraceError: the trace of the stream cannot be replayed.
     """
-    orders = spec.stream.draw_requests()
-    if not orders:
+    requests = spec.stream.draw_requests()
+    if not requests:
         raise StreamSizeError("no request in the whole stream; a higher rate or a longer run is needed")
     workers: list[_Worker] = []
     try:
         for number in range(spec.workers):
-            workers.append(_start(spec, number))
+            workers.append(_start_worker(spec, number))
         for worker in workers:
             _wait_until_ready(worker)
         started = monotonic_ms() + START_LEAD_MS
-        if began is not None:
-            began.value = started
+        if started_at is not None:
+            started_at.value = started
         for worker in workers:
             worker.pipe.send(started)
-        results = _gather(spec, workers, started, _timeout_ms(orders))
+        results = _collect_results(spec, workers, started, _timeout_ms(requests))
     finally:
         for worker in workers:
             worker.process.kill()
             worker.process.join()
             worker.pipe.close()
-    rows = _complete(outcomes.join_rows(results.rows), orders)
-    lateness = outcomes.send_delay_of(rows, len(orders), spec.send_delay_bound_ms)
-    return LoadResult(rows, lateness, results.lost, tuple(results.told), spec.stream.digest(orders))
+    rows = _add_unsent_rows(outcomes.join_rows(results.rows), requests)
+    send_delay = outcomes.send_delay_of(rows, len(requests), spec.send_delay_bound_ms)
+    return LoadResult(
+        rows, send_delay, results.lost, tuple(results.clock_reports), spec.stream.digest(requests)
+    )
 
 
-def _start(spec: LoadSpec, number: int) -> _Worker:
-    ours, theirs = spawn_context.Pipe()
-    process = spawn_context.Process(target=work, args=(spec, number, theirs), daemon=True)
+def _start_worker(spec: LoadSpec, number: int) -> _Worker:
+    parent_pipe, worker_pipe = spawn_context.Pipe()
+    process = spawn_context.Process(target=run_worker, args=(spec, number, worker_pipe), daemon=True)
     process.start()
-    theirs.close()
-    return _Worker(process, ours)
+    worker_pipe.close()
+    return _Worker(process, parent_pipe)
 
 
 def _wait_until_ready(worker: _Worker) -> None:
@@ -163,35 +170,37 @@
     raise StartError("a worker")
 
 
-def _timeout_ms(orders: Sequence[Request]) -> float:
-    longest_deadline_ms = max(order.cls.deadline_ms for order in orders)
-    return orders[-1].arrival_ms + longest_deadline_ms + RESULT_TIMEOUT_S * 1000.0
+def _timeout_ms(requests: Sequence[Request]) -> float:
+    longest_deadline_ms = max(request.cls.deadline_ms for request in requests)
+    return requests[-1].arrival_ms + longest_deadline_ms + RESULT_TIMEOUT_S * 1000.0
 
 
-def _complete(rows: Rows, orders: Sequence[Request]) -> Rows:
-    """Add a row, lost with its worker, for every request without one."""
+def _add_unsent_rows(rows: Rows, requests: Sequence[Request]) -> Rows:
+    """Add a row for every request without a row; its worker was lost."""
     schedule = [
-        (order.arrival_ms, traffic.CLASS_INDEX[order.cls.name], traffic.TENANT_INDEX[order.tenant])
-        for order in orders
+        (request.arrival_ms, traffic.CLASS_INDEX[request.cls.name], traffic.TENANT_INDEX[request.tenant])
+        for request in requests
     ]
     return outcomes.join_rows([rows, outcomes.unsent_rows(rows, schedule)])
 
 
-def _gather(spec: LoadSpec, workers: list[_Worker], started: float, timeout_ms: float) -> _WorkerResults:
-    """Collect rows until every worker has finished, has died, or is given up."""
+def _collect_results(
+    spec: LoadSpec, workers: list[_Worker], started: float, timeout_ms: float
+) -> _WorkerResults:
+    """Collect rows until every worker has finished, died, or exceeded the timeout."""
     data = {worker.pipe: bytearray() for worker in workers}
     open_pipes = list(data)
-    told = list[ClockReport]()
+    clock_reports = list[ClockReport]()
     lost = 0
-    kill = spec.kill_worker
+    pending_kill = spec.kill_worker
     while open_pipes:
         now = monotonic_ms() - started
         if now > timeout_ms:
             lost += len(open_pipes)
             break
-        if kill and now >= kill[1]:
-            workers[kill[0]].process.kill()
-            kill = None
+        if pending_kill and now >= pending_kill[1]:
+            workers[pending_kill[0]].process.kill()
+            pending_kill = None
         for pipe in wait(open_pipes, timeout=POLL_INTERVAL_S):
             assert isinstance(pipe, Connection)
             try:
@@ -199,24 +208,28 @@
                 if rows:
                     data[pipe] += rows
                     continue
-                told.append(pipe.recv())
+                clock_reports.append(pipe.recv())
             except (EOFError, OSError):
                 lost += 1
             open_pipes.remove(pipe)
-    return _WorkerResults([outcomes.parse_rows(each) for each in data.values()], told, lost)
+    return _WorkerResults(
+        [outcomes.parse_rows(packed_rows) for packed_rows in data.values()], clock_reports, lost
+    )
 
 
 def play_with_echo_nodes(
     spec: LoadSpec, count: int, stalls: Sequence[echo_node.PlannedStall], ports: Sequence[int]
 ) -> LoadResult:
-    """Play a run against so many echo nodes of its own, on these ports.
+    """Play a run against ``count`` echo nodes, which are started for the run on the given ports.
 
     Raises:
-        StartError: where a worker or an echo node does not come up.
+        StartError: a worker or an echo node does not start in time.
+        StreamSizeError: the stream is empty or too long.
+        TraceError: the trace of the stream cannot be replayed.
     """
     fleet = EchoFleet(count, stalls, ports)
     try:
         wait_until_reachable(fleet.targets)
-        return play(spec._replace(targets=fleet.targets), fleet.started)
+        return play(spec._replace(targets=fleet.targets), fleet.started_at)
     finally:
         fleet.close()
--- a/spindlerelay/testbed/load_generation/outcomes.py
+++ b/spindlerelay/testbed/load_generation/outcomes.py
@@ -1,8 +1,8 @@
-"""What came of each request, as rows of one table, and the figures that are read from them.
+"""The outcome of each request as a row of a table, and the statistics of such a table.
 
-Pure. Latency counts from the time that the request was meant to be sent; how late it was sent is a column of
-its own. Percentiles come from whole histograms; nothing is a mean of means. The columns and the texts of
-``ENDS``, ``REASONS`` and ``OUTCOMES`` are stored in files.
+Pure. Latency counts from the intended send time, which avoids coordinated omission; the send delay has its
+own column. Percentiles are computed from complete histograms, and no statistic is a mean of means. Files
+store the columns and the texts of ``ENDS``, ``REASONS`` and ``OUTCOMES``.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 OUTCOMES = ("in_aim", "late", "refused", "failed", "lost", "unsent")
 SERVED = ENDS.index("served")
 UNSENT = ENDS.index("unsent")
-MAX_LATENCY_US = 120_000_000  # longer ones count as this
-SIGNIFICANT_FIGURES = 3  # of a histogram
+MAX_LATENCY_US = 120_000_000  # longer latencies are recorded as this value
+SIGNIFICANT_FIGURES = 3  # precision of the histograms
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 GROUPINGS = ("class", "department", "outcome")
 
@@ -63,9 +63,10 @@
 
 
 class Outcome(NamedTuple):
-    """One request: its intended time in ms from the start, its send delay, and its latency from that time.
+    """The outcome of one request.
 
-    ``cls`` and ``department`` are indices of the tables that the request was drawn from.
+    ``at_ms`` is the intended send time in ms from the start of the run, and ``latency_ms`` counts from it.
+    ``cls`` and ``tenant`` are indices into the tables of classes and tenants that the request was drawn from.
     """
 
     at_ms: float
@@ -74,13 +75,13 @@
     latency_ms: float
     attempts: int
     cls: int
-    department: int
+    tenant: int
     end: str
     reason: str = ""
     is_partial: bool = False
 
     def to_row(self) -> bytes:
-        """Return the request as one row of ``COLUMNS``."""
+        """Return the outcome as one packed row of ``COLUMNS``."""
         return ROW.pack(
             self.at_ms,
             self.send_delay_ms,
@@ -88,7 +89,7 @@
             min(MAX_LATENCY_US, max(0, round(self.latency_ms * 1000.0))),
             self.attempts,
             self.cls,
-            self.department,
+            self.tenant,
             ENDS.index(self.end),
             REASONS.index(self.reason),
             self.is_partial,
@@ -96,19 +97,19 @@
 
 
 def parse_rows(data: bytes | bytearray) -> Rows:
-    """Return the table of packed rows; an incomplete row at the end is left out."""
+    """Return packed rows as a table, without an incomplete row at the end."""
     complete = len(data) - len(data) % ROW.size
     return np.frombuffer(bytes(data[:complete]), dtype=COLUMNS)
 
 
 def join_rows(parts: Sequence[Rows]) -> Rows:
-    """Return the rows of several workers in the order of the stream."""
+    """Return the rows of several workers as one table in the order of the stream."""
     rows = np.concatenate([np.empty(0, COLUMNS), *parts])
     return rows[np.argsort(rows["number"], kind="stable")]
 
 
 def outcome_indices(rows: Rows, classes: Sequence[ClassSpec]) -> NDArray[np.uint8]:
-    """Return the index in ``OUTCOMES`` of each row."""
+    """Return the index in ``OUTCOMES`` for each row."""
     latency_objective_us = np.array([cls.latency_objective_ms for cls in classes])[rows["cls"]] * 1000.0
     served = rows["end"] == SERVED
     late = served & (rows["took_us"] > latency_objective_us)
@@ -118,7 +119,7 @@
 def earned_weights(
     rows: Rows, classes: Sequence[ClassSpec]
 ) -> tuple[NDArray[np.float64], NDArray[np.float64]]:
-    """Return the priority weight of each row, and how much of it was earned."""
+    """Return the priority weight of each row, and the part of the weight that its response earned."""
     weight = np.array([cls.priority_weight for cls in classes])[rows["cls"]]
     late_weight = np.array([cls.late_response_weight for cls in classes])[rows["cls"]]
     partial_weight = np.array([cls.partial_response_weight for cls in classes])[rows["cls"]]
@@ -128,13 +129,13 @@
 
 
 def goodput(rows: Rows, classes: Sequence[ClassSpec]) -> float:
-    """Return the earned fraction of all priority weight; 0 without a request."""
+    """Return the earned fraction of the total priority weight, or 0 if there are no rows."""
     weight, earned = earned_weights(rows, classes)
     return float(earned.sum() / weight.sum()) if weight.size else 0.0
 
 
 def histogram(took_us: NDArray[Any]) -> HdrHistogram:
-    """Return all latencies in microseconds."""
+    """Return a histogram of latencies in microseconds."""
     latencies = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_FIGURES)
     values, counts = np.unique(np.maximum(1, took_us), return_counts=True)
     for value, count in zip(values.tolist(), counts.tolist(), strict=True):
@@ -143,7 +144,7 @@
 
 
 def percentiles(took_us: NDArray[Any]) -> dict[str, float]:
-    """Return milliseconds by name, such as ``p99_9_ms``; empty without a value."""
+    """Return the percentiles in ms by name, such as ``p99_9_ms``; empty if there are no latencies."""
     if not took_us.size:
         return {}
     latencies = histogram(took_us)
@@ -154,7 +155,7 @@
 
 
 class SendDelay(NamedTuple):
-    """How well a sender followed its schedule: ``sent`` of ``intended`` requests left."""
+    """How closely the send times of a run followed the schedule of ``intended`` requests."""
 
     intended: int
     sent: int
@@ -164,21 +165,21 @@
 
     @property
     def sent_fraction(self) -> float:
-        """Return the fraction of the requests that were sent."""
+        """Return the fraction of the intended requests that were sent."""
         return self.sent / self.intended if self.intended else 1.0
 
     def void_reasons(self) -> list[str]:
-        """Return, in words, why the run is void; nothing where it counts."""
-        count_reasons = []
+        """Return the reasons why the run is void; the list is empty for a valid run."""
+        reasons = []
         if self.sent < self.intended:
-            count_reasons.append(f"{self.intended - self.sent} of {self.intended} requests were never sent")
+            reasons.append(f"{self.intended - self.sent} of {self.intended} requests were never sent")
         if self.p99_ms > self.bound_ms:
-            count_reasons.append(f"the sender was late: p99 {self.p99_ms:.1f} ms, bound {self.bound_ms:g} ms")
-        return count_reasons
+            reasons.append(f"the sender was late: p99 {self.p99_ms:.1f} ms, bound {self.bound_ms:g} ms")
+        return reasons
 
 
 def send_delay_of(rows: Rows, intended: int, bound_ms: float) -> SendDelay:
-    """Return the send delays of a run that should have sent so many requests."""
+    """Return the send delay of a run that should have sent ``intended`` requests."""
     sent = rows[rows["end"] != UNSENT]
     if not sent.size:
         return SendDelay(intended, 0, 0.0, 0.0, bound_ms)
@@ -188,33 +189,34 @@
 
 
 def unsent_rows(rows: Rows, schedule: Sequence[tuple[float, int, int]]) -> Rows:
-    """Return a row, lost with its worker, for every request without one.
+    """Return a row with the reason "worker lost" for every request that has no row.
 
-    ``schedule`` has the time, class and department of each request of the stream.
+    ``schedule`` contains the intended send time, class index and tenant index of each request of the stream.
     """
-    known = set(rows["number"].tolist())
+    recorded_numbers = set(rows["number"].tolist())
     data = b"".join(
-        Outcome(at, 0.0, number, 0.0, 0, cls, department, "unsent", "worker lost").to_row()
-        for number, (at, cls, department) in enumerate(schedule)
-        if number not in known
+        Outcome(at, 0.0, number, 0.0, 0, cls, tenant, "unsent", "worker lost").to_row()
+        for number, (at, cls, tenant) in enumerate(schedule)
+        if number not in recorded_numbers
     )
     return parse_rows(data)
 
 
 def table(
-    rows: Rows, classes: Sequence[ClassSpec], departments: Sequence[str], by: str = "class"
+    rows: Rows, classes: Sequence[ClassSpec], tenant_names: Sequence[str], by: str = "class"
 ) -> list[dict[str, Any]]:
-    """Return one row for all requests and one for each class, department or outcome.
+    """Return one row for all requests and one row for each class, tenant or outcome.
 
-    A row has counts by outcome, the earned fraction of priority weight, and percentiles of what was answered.
+    A row contains the counts by outcome, the earned fraction of the priority weight, the mean number of
+    attempts, and the latency percentiles of the requests that were sent.
 
     Raises:
-        UnknownNameError: for a grouping that is not one of ``GROUPINGS``.
+        UnknownNameError: ``by`` is not one of ``GROUPINGS``.
     """
     outcome = outcome_indices(rows, classes)
     weight, earned = earned_weights(rows, classes)
     table_rows = []
-    for name, selected in _groups(rows, outcome, classes, departments, by).items():
+    for name, selected in _groups(rows, outcome, classes, tenant_names, by).items():
         if by == "outcome" and not selected.any():
             continue
         counts = {kind: int(np.sum(outcome[selected] == i)) for i, kind in enumerate(OUTCOMES)}
@@ -237,15 +239,15 @@
     rows: Rows,
     outcome: NDArray[np.uint8],
     classes: Sequence[ClassSpec],
-    departments: Sequence[str],
+    tenant_names: Sequence[str],
     by: str,
 ) -> dict[str, NDArray[np.bool_]]:
-    """Return which rows belong to each group, all of them first."""
+    """Return a row mask for each group by name; the first group contains all rows."""
     groups: dict[str, NDArray[np.bool_]] = {"all": np.ones(len(rows), bool)}
     if by == "class":
         groups |= {cls.name: rows["cls"] == i for i, cls in enumerate(classes)}
     elif by == "department":
-        groups |= {name: rows["department"] == i for i, name in enumerate(departments)}
+        groups |= {name: rows["department"] == i for i, name in enumerate(tenant_names)}
     elif by == "outcome":
         groups |= {name: outcome == i for i, name in enumerate(OUTCOMES)}
     else:
@@ -254,34 +256,40 @@
 
 
 def over_time(rows: Rows, classes: Sequence[ClassSpec], bin_ms: float) -> dict[str, list[float | None]]:
-    """Return the earned fraction of priority weight and requests a second, by bins of the intended time."""
+    """Return the earned fraction of priority weight and the request rate, by bins of intended send time."""
     if not rows.size:
         return {"worth": [], "per_s": []}
     weight, earned = earned_weights(rows, classes)
-    bin_of = (rows["at_ms"] // bin_ms).astype(int)
-    bins = int(bin_of.max()) + 1
-    weight_by_bin, earned_by_bin = np.bincount(bin_of, weight, bins), np.bincount(bin_of, earned, bins)
-    counts = np.bincount(bin_of, minlength=bins)
-    fractions = [float(e / w) if w else None for w, e in zip(weight_by_bin, earned_by_bin, strict=True)]
+    bin_indices = (rows["at_ms"] // bin_ms).astype(int)
+    bins = int(bin_indices.max()) + 1
+    weight_by_bin, earned_by_bin = (
+        np.bincount(bin_indices, weight, bins),
+        np.bincount(bin_indices, earned, bins),
+    )
+    counts = np.bincount(bin_indices, minlength=bins)
+    fractions = [
+        float(earned_weight / total) if total else None
+        for total, earned_weight in zip(weight_by_bin, earned_by_bin, strict=True)
+    ]
     return {"worth": fractions, "per_s": [float(count) * 1000.0 / bin_ms for count in counts]}
 
 
 def latency_heat_map(
     rows: Rows, bin_ms: float, steps: int = 24
 ) -> tuple[NDArray[np.int64], NDArray[np.float64]]:
-    """Return counts of requests by bins of intended time and of latency, and the latency bins' edges in ms.
+    """Return counts of requests by intended send time and latency, and the edges of the latency bins in ms.
 
     The edges are evenly spaced on a logarithmic scale.
     """
-    took = np.maximum(1.0, rows["took_us"] / 1000.0)
-    edges = np.geomspace(1.0, max(10.0, float(took.max(initial=10.0)) * 1.001), steps + 1)
+    latencies_ms = np.maximum(1.0, rows["took_us"] / 1000.0)
+    edges = np.geomspace(1.0, max(10.0, float(latencies_ms.max(initial=10.0)) * 1.001), steps + 1)
     columns = int(rows["at_ms"].max(initial=0.0) // bin_ms) + 1
-    counts, _, _ = np.histogram2d(rows["at_ms"], took, bins=[np.arange(columns + 1) * bin_ms, edges])
+    counts, _, _ = np.histogram2d(rows["at_ms"], latencies_ms, bins=[np.arange(columns + 1) * bin_ms, edges])
     return counts.astype(np.int64), edges
 
 
 def count_reasons(rows: Rows) -> dict[str, int]:
-    """Return counts of requests by the reason of their end, the most frequent first; successes have none."""
+    """Return counts of unsuccessful requests by reason, the most frequent reason first."""
     counts = Counter(REASONS[number] for number in rows["reason"].tolist())
     counts.pop("", None)
     return dict(counts.most_common())
--- a/spindlerelay/testbed/load_generation/sender.py
+++ b/spindlerelay/testbed/load_generation/sender.py
@@ -1,8 +1,8 @@
-"""One worker's sending: requests leave at their times, whatever has been answered.
+"""The sender of one worker: sends requests at their intended times, independent of the responses.
 
-It runs on a loop of its own with ticks of 1 ms, on the steady clock: only the timestamps that the protocol
-asks for are on the system's clock, and steps of that one are counted. What came of each request leaves as
-rows.
+A sender runs on its own event loop with ticks of 1 ms, on the monotonic clock. Only the timestamps that the
+protocol requires use the system clock, and the sender counts the steps of that clock. It emits the outcome of
+each request as a row.
 """
 
 from __future__ import annotations
@@ -24,30 +24,30 @@
 from spindlerelay.transport.event_loop import EventLoop
 from spindlerelay.transport.system import monotonic_ms, unix_time_ms
 
-TICK_MS = 1.0  # of the loop: what a sender may be late by itself
+TICK_MS = 1.0  # tick of the loop, which is the send delay that a sender itself may cause
 HOUSEKEEPING_INTERVAL_MS = 50.0
-ANSWER_GRACE_MS = 1000.0  # past a request's deadline, in which a late answer still counts as one
-CLOCK_STEP_MS = 50.0  # by which the two clocks may drift apart between two looks: more is a step
-MAX_REQUESTS_PER_CONNECTION = 32  # at once, by the protocol
-OPEN_LOOP = -1  # the user of a request that nobody waits for
+ANSWER_GRACE_MS = 1000.0  # time after a request's deadline in which a response is still accepted
+CLOCK_STEP_MS = 50.0  # the clocks drift less than this between two comparisons; a larger change is a step
+MAX_REQUESTS_PER_CONNECTION = 32  # limit of requests in flight that the protocol sets
+OPEN_LOOP = -1  # user index of open-loop requests, for which no user waits
 
 
 class Target(NamedTuple):
-    """A node to send to."""
+    """A node that receives requests."""
 
     name: str
     address: tuple[str, int]
 
 
 class ClockReport(NamedTuple):
-    """Steps of the system's clock that a worker noticed; ``step_ms`` is the widest."""
+    """Steps of the system clock that a worker detected; ``max_step_ms`` is the largest step."""
 
     clock_steps: int
     max_step_ms: float
 
 
 class _PendingRequest(NamedTuple):
-    order: Request
+    request: Request
     retry_path: RetryPath
     balancer: int
     intended_at: float
@@ -56,10 +56,11 @@
 
 
 class Sender:
-    """Sends the requests of one worker, which are in the order of their times.
+    """Sends the requests of one worker, which must be sorted by arrival time.
 
-    ``emit`` takes packed rows of ``outcomes``. ``users`` above 0 makes it a closed loop: so many users, each
-    with one request open, and latency from the sending. Open loops are compared with it.
+    ``emit`` receives packed rows of ``outcomes``. If ``users`` is above 0, the sender is a closed loop: every
+    user has at most one open request, and latency counts from the actual send time. Closed loops exist for
+    comparison with open loops.
     """
 
     def __init__(  # noqa: PLR0913
@@ -72,16 +73,16 @@
         seed: int = 0,
         users: int = 0,
         wall_clock: Callable[[], float] = unix_time_ms,
-        dialect: Callable[[], BalancerProtocol] = MessagePackRpc,
+        protocol: Callable[[], BalancerProtocol] = MessagePackRpc,
     ) -> None:
         self._loop = event_loop
-        self._orders = requests
+        self._requests = requests
         self._emit = emit
         self._users = users
         self._wall_clock = wall_clock
         self._rng = random.Random(seed)
         self._weights = tuple(weight for _, weight in balancers)
-        self._balancers = [Balancer(habit, random.Random(self._rng.random())) for habit, _ in balancers]
+        self._balancers = [Balancer(profile, random.Random(self._rng.random())) for profile, _ in balancers]
         addresses = {target.name: target.address for target in targets}
         for balancer in self._balancers:
             balancer.update_nodes(
@@ -89,112 +90,119 @@
             )
         self._connections = [
             BalancerConnections(
-                event_loop, addresses.__getitem__, _ignore, _ignore, dialect, MAX_REQUESTS_PER_CONNECTION
+                event_loop, addresses.__getitem__, _ignore, _ignore, protocol, MAX_REQUESTS_PER_CONNECTION
             )
             for _ in balancers
         ]
-        self._started = 0.0
+        self._started_at = 0.0
         self._sent = 0
         self._open_requests = 0
-        self._next = 0
-        self._pending: dict[int, deque[_PendingRequest]] = {}  # by class, in the order of their deadlines
-        self._queues: list[deque[Request]] = []  # of each user
+        self._next_index = 0
+        self._pending: dict[int, deque[_PendingRequest]] = {}  # by class index, sorted by deadline
+        self._queues: list[deque[Request]] = []  # requests to send, by user
         self._rows = bytearray()
         self._clock_offset = 0.0
         self._clock_steps = 0
         self._max_clock_step_ms = 0.0
 
-    def begin(self, started: float) -> None:
-        """Start sending; ``started`` is the stream's start on the loop's clock, at most a moment ahead."""
-        self._started = started
+    def begin(self, started_at: float) -> None:
+        """Start sending; ``started_at`` is the stream's start on the loop's clock, now or shortly ahead."""
+        self._started_at = started_at
         self._clock_offset = self._wall_clock() - self._loop.now()
         if self._users:
-            self._queues = [deque(self._orders[user :: self._users]) for user in range(self._users)]
+            self._queues = [deque(self._requests[user :: self._users]) for user in range(self._users)]
             for user in range(self._users):
-                self._schedule_next_of(user)
+                self._schedule_next_request(user)
         else:
             self._send_due()
         self._housekeep()
 
-    def _schedule_next_of(self, user: int) -> None:
-        """Let a closed loop's user send its next request when it is due, or else at once."""
+    def _schedule_next_request(self, user: int) -> None:
+        """Schedule the next request of a closed-loop user at its arrival time, or now if it is overdue."""
         if self._queues[user]:
-            order = self._queues[user].popleft()
-            send_at = max(self._loop.now(), self._started + order.arrival_ms)
-            self._loop.timers.schedule(send_at, partial(self._send, order, user))
+            request = self._queues[user].popleft()
+            send_at = max(self._loop.now(), self._started_at + request.arrival_ms)
+            self._loop.timers.schedule(send_at, partial(self._send, request, user))
 
     def _send_due(self) -> None:
-        """Send all that is due, then sleep until the next request is."""
-        orders, now = self._orders, self._loop.now()
-        while self._next < len(orders) and self._started + orders[self._next].arrival_ms <= now:
-            self._next += 1
-            self._send(orders[self._next - 1], OPEN_LOOP)
+        """Send all requests that are due, and set a timer for the next request."""
+        requests, now = self._requests, self._loop.now()
+        while (
+            self._next_index < len(requests)
+            and self._started_at + requests[self._next_index].arrival_ms <= now
+        ):
+            self._next_index += 1
+            self._send(requests[self._next_index - 1], OPEN_LOOP)
             now = self._loop.now()
-        if self._next < len(orders):
-            self._loop.timers.schedule(self._started + orders[self._next].arrival_ms, self._send_due)
+        if self._next_index < len(requests):
+            self._loop.timers.schedule(
+                self._started_at + requests[self._next_index].arrival_ms, self._send_due
+            )
 
-    def _send(self, order: Request, user: int) -> None:
+    def _send(self, request: Request, user: int) -> None:
         now = self._loop.now()
-        send_delay_ms = now - self._started - order.arrival_ms if user == OPEN_LOOP else 0.0
-        intended_at = self._started + order.arrival_ms if user == OPEN_LOOP else now
-        index = index_by_weight(self._weights, order.number)
+        send_delay_ms = now - self._started_at - request.arrival_ms if user == OPEN_LOOP else 0.0
+        intended_at = self._started_at + request.arrival_ms if user == OPEN_LOOP else now
+        balancer_index = index_by_weight(self._weights, request.number)
         self._sent += 1
         self._open_requests += 1
-        deadline = intended_at + order.cls.deadline_ms
+        deadline = intended_at + request.cls.deadline_ms
         retry_path = RetryPath(
-            self._balancers[index], deadline, order.criticality, bool(order.idempotency_key)
+            self._balancers[balancer_index], deadline, request.criticality, bool(request.idempotency_key)
         )
-        request = _PendingRequest(order, retry_path, index, intended_at, send_delay_ms, user)
-        self._pending.setdefault(traffic.CLASS_INDEX[order.cls.name], deque()).append(request)
-        self._follow(request, retry_path.next_attempt(now))
+        pending = _PendingRequest(request, retry_path, balancer_index, intended_at, send_delay_ms, user)
+        self._pending.setdefault(traffic.CLASS_INDEX[request.cls.name], deque()).append(pending)
+        self._apply_step(pending, retry_path.next_attempt(now))
 
-    def _follow(self, request: _PendingRequest, step: NextStep) -> None:
-        """Do what the retry path decided."""
+    def _apply_step(self, pending: _PendingRequest, step: NextStep) -> None:
+        """Execute the next step that the retry path has decided."""
         if step.kind == "try":
             assert step.node
-            self._send_attempt(request, step.node.id)
+            self._send_attempt(pending, step.node.id)
         elif step.kind == "pause":
-            self._loop.call_later(step.delay_ms, partial(self._retry, request))
+            self._loop.call_later(step.delay_ms, partial(self._retry, pending))
         elif step.kind == "end":
-            self._end(request, step)
-
-    def _retry(self, request: _PendingRequest) -> None:
-        self._follow(request, request.retry_path.next_attempt(self._loop.now()))
-
-    def _send_attempt(self, request: _PendingRequest, node: str) -> None:
-        order, retry_path = request.order, request.retry_path
-        now, wall = self._loop.now(), self._wall_clock()
-        call = f"{self._rng.getrandbits(64):016x}"
-        marked = retry_path.is_marked_retry(retry_path.attempts)
-        fields = request_fields(order, call, request.balancer, wall, retry_path.deadline - now, marked)
-        if hedge_delay_ms := retry_path.next_attempt_delay_ms():
-            self._loop.call_later(hedge_delay_ms, partial(self._retry, request))
-        on_answer = partial(self._answered, request, node)
-        connections = self._connections[request.balancer]
-        connections.send_request(node, call, order.cls.name, fields, order.body, on_answer)
-
-    def _answered(self, request: _PendingRequest, node: str, answer: Response) -> None:
-        self._follow(request, request.retry_path.on_response(self._loop.now(), node, answer))
-
-    def _end(self, request: _PendingRequest, step: NextStep) -> None:
-        order = request.order
+            self._end(pending, step)
+
+    def _retry(self, pending: _PendingRequest) -> None:
+        self._apply_step(pending, pending.retry_path.next_attempt(self._loop.now()))
+
+    def _send_attempt(self, pending: _PendingRequest, node: str) -> None:
+        request, retry_path = pending.request, pending.retry_path
+        now, unix_now_ms = self._loop.now(), self._wall_clock()
+        call_id = f"{self._rng.getrandbits(64):016x}"
+        is_marked_retry = retry_path.is_marked_retry(retry_path.attempts)
+        fields = request_fields(
+            request, call_id, pending.balancer, unix_now_ms, retry_path.deadline - now, is_marked_retry
+        )
+        if next_attempt_delay_ms := retry_path.next_attempt_delay_ms():
+            self._loop.call_later(next_attempt_delay_ms, partial(self._retry, pending))
+        on_response = partial(self._handle_response, pending, node)
+        connections = self._connections[pending.balancer]
+        connections.send_request(node, call_id, request.cls.name, fields, request.body, on_response)
+
+    def _handle_response(self, pending: _PendingRequest, node: str, response: Response) -> None:
+        self._apply_step(pending, pending.retry_path.on_response(self._loop.now(), node, response))
+
+    def _end(self, pending: _PendingRequest, step: NextStep) -> None:
+        request = pending.request
         self._open_requests -= 1
         self._rows += Outcome(
-            order.arrival_ms,
-            request.send_delay_ms,
-            order.number,
-            self._loop.now() - request.intended_at,
-            request.retry_path.attempts,
-            traffic.CLASS_INDEX[order.cls.name],
-            traffic.TENANT_INDEX[order.tenant],
+            request.arrival_ms,
+            pending.send_delay_ms,
+            request.number,
+            self._loop.now() - pending.intended_at,
+            pending.retry_path.attempts,
+            traffic.CLASS_INDEX[request.cls.name],
+            traffic.TENANT_INDEX[request.tenant],
             step.outcome,
             step.reason,
         ).to_row()
-        if request.user != OPEN_LOOP:
-            self._schedule_next_of(request.user)
+        if pending.user != OPEN_LOOP:
+            self._schedule_next_request(pending.user)
 
     def _housekeep(self) -> None:
-        """Expire requests, compare the clocks, emit the rows, and stop the loop when all is over."""
+        """Expire requests, compare the clocks, emit rows, and stop the loop when every request has ended."""
         now = self._loop.now()
         self._expire(now)
         self._compare_clocks(now)
@@ -203,7 +211,7 @@
         if self._rows:
             rows, self._rows = bytes(self._rows), bytearray()
             self._emit(rows)
-        if self._sent < len(self._orders) or self._open_requests:
+        if self._sent < len(self._requests) or self._open_requests:
             self._loop.call_later(HOUSEKEEPING_INTERVAL_MS, self._housekeep)
             return
         for connections in self._connections:
@@ -211,12 +219,12 @@
         self._loop.running = False
 
     def _expire(self, now: float) -> None:
-        for pending in self._pending.values():
-            while pending and (
-                pending[0].retry_path.finished or pending[0].retry_path.deadline + ANSWER_GRACE_MS <= now
+        for queue in self._pending.values():
+            while queue and (
+                queue[0].retry_path.finished or queue[0].retry_path.deadline + ANSWER_GRACE_MS <= now
             ):
-                request = pending.popleft()
-                self._follow(request, request.retry_path.expire())
+                pending = queue.popleft()
+                self._apply_step(pending, pending.retry_path.expire())
 
     def _compare_clocks(self, now: float) -> None:
         offset = self._wall_clock() - now
@@ -227,14 +235,14 @@
         self._clock_offset = offset
 
     def clock_report(self) -> ClockReport:
-        """Return the steps of the system's clock so far."""
+        """Return the steps of the system clock that were detected so far."""
         return ClockReport(self._clock_steps, self._max_clock_step_ms)
 
 
 def _ignore(*_: object) -> None:
-    """Ignore that a request was written, or that an answer came too late: there is no checker here."""
+    """Ignore written requests and unmatched responses: a load run has no checker that tracks them."""
 
 
 def create_loop() -> EventLoop:
-    """Return a sender's loop: on the steady clock, with fine ticks."""
+    """Return an event loop for a sender, on the monotonic clock and with ticks of ``TICK_MS``."""
     return EventLoop(monotonic_ms, TICK_MS)
--- a/spindlerelay/testbed/load_generation/stream.py
+++ b/spindlerelay/testbed/load_generation/stream.py
@@ -1,4 +1,4 @@
-"""Request streams: which requests are sent when, drawn from a seed or read from a trace."""
+"""Request streams: requests with their arrival times, drawn from a seed or read from a trace."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Stream(NamedTuple):
-    """A stream, drawn from a seed and a curve, or read from the file ``trace``."""
+    """A stream that is drawn from a seed and a curve, or read from the file ``trace`` if that is set."""
 
     seed: int = 1
     spacing: str = "poisson"
@@ -25,11 +25,11 @@
     retries: bool = False
 
     def draw_requests(self) -> list[Request]:
-        """Return the requests: the same for the same values on every machine.
+        """Return the requests; equal streams yield equal requests on every machine.
 
         Raises:
-            StreamSizeError: where they are too many.
-            TraceError: where the trace cannot be replayed.
+            StreamSizeError: the curve yields more than ``MAX_REQUESTS`` requests.
+            TraceError: the trace cannot be replayed.
         """
         if self.trace:
             trace = trace_replay.read_trace(self.trace)
@@ -44,10 +44,10 @@
     def to_trace(self, requests: Sequence[Request]) -> bytes:
         """Return the stream as a trace file.
 
-        Hashes are salted by the seed, so that the same stream is the same file.
+        The seed is the salt of the hashes, so that equal streams yield equal files.
         """
         salt = f"seed {self.seed}".encode()
-        return trace_replay.encode_trace(trace_replay.record_of(order, salt) for order in requests)
+        return trace_replay.encode_trace(trace_replay.record_of(request, salt) for request in requests)
 
     def digest(self, requests: Sequence[Request]) -> str:
         """Return a digest of the stream's trace file."""
--- a/spindlerelay/testbed/load_generation/trace_replay.py
+++ b/spindlerelay/testbed/load_generation/trace_replay.py
@@ -1,7 +1,7 @@
-"""Reading, importing and replaying traces of requests.
+"""Reads, imports and replays traces of requests.
 
-The file format is that of ``observability.trace_format``; the keys of a line stay as they are in files. Every
-error names the file and the line.
+``observability.trace_format`` defines the file format. Every error in a file names the file, and the line if
+the error concerns one line.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 from spindlerelay.testbed.models.machine import RunPlan
 from spindlerelay.testbed.models.traffic import ClassSpec, Request
 
-MAX_ERRORS = 20  # reported for one file
+MAX_ERRORS = 20  # maximum number of errors that are reported for one file
 MAX_RECORDS = 5_000_000
 DAY_MS = 86_400_000.0
 
 
 class TraceError(FileError):
-    """A trace that cannot be read, imported or replayed. ``lines`` has one text for each error."""
+    """A trace cannot be read, imported or replayed; ``lines`` contains one text per error."""
 
 
 class Trace(NamedTuple):
-    """A trace's requests, in the order of their times.
+    """The requests of a trace.
 
     Attributes:
-        records: the requests.
-        cut: how an incomplete file ended, in words; empty for a complete one.
-        missed: how many requests the capture could not record.
+        records: requests sorted by time.
+        truncation: description of where a truncated file ends; empty for a complete file.
+        missed_count: number of requests that exceeded the limits of the capture.
     """
 
     records: list[TraceRecord]
@@ -48,7 +48,7 @@
 
 
 class _Line(BaseModel):
-    """A record with the keys of a file; texts of a CSV file are converted to numbers."""
+    """A record with the keys of the file format; texts of a CSV file are converted to numbers."""
 
     model_config = ConfigDict(extra="forbid")
 
@@ -85,7 +85,7 @@
 
 
 class _RecordCollector:
-    """Records and errors of a file, up to their limits."""
+    """Collects the records and errors of a file, up to a limit for each."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -93,7 +93,7 @@
         self.errors: list[str] = []
 
     def add(self, number: int, fields: dict[str, Any]) -> None:
-        """Add the record of a line, or the errors in it."""
+        """Add the record of a line, or the validation errors of the line."""
         try:
             record = _record(fields)
         except ValidationError as error:
@@ -101,20 +101,20 @@
             return
         self.records.append(record)
 
-    def full(self) -> bool:
-        """Return whether a limit is reached; too many records are an error."""
+    def is_full(self) -> bool:
+        """Return whether a limit is reached; add an error if the file has too many records."""
         if len(self.records) > MAX_RECORDS:
-            self.errors.append(f"{self.path}: more than {MAX_RECORDS} records; cut it into parts")
+            self.errors.append(f"{self.path}: more than {MAX_RECORDS} records; split the file")
         return len(self.errors) >= MAX_ERRORS or len(self.records) > MAX_RECORDS
 
     def finish(self) -> list[TraceRecord]:
         """Return the records.
 
         Raises:
-            TraceError: where there is an error, or no record.
+            TraceError: the file contains an error or no record.
         """
         if not self.errors and not self.records:
-            self.errors.append(f"{self.path}: no request in it; each line or row should be one")
+            self.errors.append(f"{self.path}: no request in it; expected one request per line")
         if self.errors:
             raise TraceError(self.errors[:MAX_ERRORS])
         return self.records
@@ -138,36 +138,39 @@
 
 
 def read_trace(path: str) -> Trace:
-    """Return the trace in a file of our own format.
+    """Return the trace in a file of the format of ``trace_format``.
 
-    A file that was cut off, even within a line, is read up to there, and the trace's ``cut`` says so.
+    A truncated file, even one that ends within a line, is read up to its end; the trace's ``truncation`` then
+    describes where the file ends.
 
     Raises:
-        TraceError: for anything else that is wrong.
+        TraceError: the file cannot be read or is invalid apart from a truncation.
     """
     lines = _read_bytes(path).split(b"\n")
-    incomplete_line = lines.pop()  # empty where the file is complete
+    incomplete_line = lines.pop()  # empty if the last line is complete
     _check_header(path, lines)
     collector = _RecordCollector(path)
     footer = _collect(path, lines, collector)
     records = collector.finish()
     if footer is None:
-        cut = f"{path}: cut off after {len(records)} requests"
-        cut += f", {len(incomplete_line)} bytes into a line" if incomplete_line else ""
-        return Trace(_sorted(records), cut)
+        truncation = f"{path}: cut off after {len(records)} requests"
+        truncation += f", {len(incomplete_line)} bytes into a line" if incomplete_line else ""
+        return Trace(_sorted(records), truncation)
     if footer["end"] != len(records):
         raise TraceError(
-            [f"{path}: {len(records)} records, {footer['end']} by its last line: lines are gone"]
+            [f"{path}: {len(records)} records, {footer['end']} by its last line: lines are missing"]
         )
     return Trace(_sorted(records), "", int(footer.get("missed", 0)))
 
 
 def _check_header(path: str, lines: list[bytes]) -> None:
     if not lines:
-        raise TraceError([f"{path}:1: no trace; its first line should name format and version"])
+        raise TraceError([f"{path}:1: not a trace: the first line should name format and version"])
     header = _parse_object(path, 1, lines[0])
     if header.get("format") != trace_format.FORMAT:
-        problem = f"no trace: format should be {trace_format.FORMAT!r}; 'trace import' takes other files"
+        problem = (
+            f"not a trace: format should be {trace_format.FORMAT!r}; 'trace import' converts other files"
+        )
         raise TraceError([f"{path}:1: {problem}"])
     version = header.get("version")
     if version != trace_format.VERSION:
@@ -176,11 +179,11 @@
 
 
 def _collect(path: str, lines: list[bytes], collector: _RecordCollector) -> dict[str, Any] | None:
-    """Collect the records below the header, and return the footer, None where the file has none."""
+    """Collect the records after the header, and return the footer, or None if the file has no footer."""
     footer: dict[str, Any] | None = None
     for number, data in enumerate(lines[1:], 2):
         if footer is not None:
-            collector.errors.append(f"{path}:{number}: a line after the end of the trace; take it out")
+            collector.errors.append(f"{path}:{number}: a line after the end of the trace; remove it")
         try:
             line = _parse_object(path, number, data)
         except TraceError as error:
@@ -190,32 +193,37 @@
             footer = line
         else:
             collector.add(number, line)
-        if collector.full():
+        if collector.is_full():
             break
     return footer
 
 
 def _sorted(records: list[TraceRecord]) -> list[TraceRecord]:
-    """Return the records by time, from 0: two connections may bring requests a little out of order."""
+    """Return the records sorted by time, with times that start at 0.
+
+    A capture may be slightly out of order, since requests arrive on several connections.
+    """
     first = min(record.at_ms for record in records)
     return sorted(
-        (each._replace(at_ms=each.at_ms - first) for each in records), key=lambda record: record.at_ms
+        (record._replace(at_ms=record.at_ms - first) for record in records), key=lambda record: record.at_ms
     )
 
 
-def import_trace(path: str, form: str) -> Trace:
-    """Return a trace from another program's file: ``csv`` with a header line, else JSON lines.
+def import_trace(path: str, file_format: str) -> Trace:
+    """Return a trace from a file of another program.
+
+    The format is ``csv``, with a header line, or otherwise JSON lines.
 
     Raises:
-        TraceError: with every bad line.
+        TraceError: the file is invalid; the error lists every invalid line, up to ``MAX_ERRORS``.
     """
     data = _read_bytes(path)
     collector = _RecordCollector(path)
     try:
-        rows = _csv(path, data) if form == "csv" else _json_lines(path, data, collector)
+        rows = _csv(path, data) if file_format == "csv" else _json_lines(path, data, collector)
         for number, fields in rows:
             collector.add(number, fields)
-            if collector.full():
+            if collector.is_full():
                 break
     except UnicodeDecodeError:
         raise TraceError([f"{path}: not UTF-8 text"]) from None
@@ -227,7 +235,7 @@
 def _csv(path: str, data: bytes) -> Iterator[tuple[int, dict[str, Any]]]:
     reader = csv.DictReader(io.StringIO(data.decode("utf-8-sig")), strict=True)
     if not reader.fieldnames or not {"at", "class"} <= set(reader.fieldnames):
-        raise TraceError([f"{path}:1: the head line should name the columns, at and class among them"])
+        raise TraceError([f"{path}:1: the header line should name the columns, including at and class"])
     for row in reader:
         fields = {key: value for key, value in row.items() if value not in (None, "")}
         yield reader.line_num, {str(key or "(past the last column)"): value for key, value in fields.items()}
@@ -251,66 +259,67 @@
     return b"".join([trace_format.encode_header(note), *parts, trace_format.encode_footer(len(parts))])
 
 
-def record_of(order: Request, salt: bytes) -> TraceRecord:
-    """Return what a capture would record of a request of the load generator."""
+def record_of(request: Request, salt: bytes) -> TraceRecord:
+    """Return the record that a capture would contain for a request of the load generator."""
     key = (
-        trace_format.digest(salt, order.idempotency_key.encode(), trace_format.KEY_BYTES)
-        if order.idempotency_key
+        trace_format.digest(salt, request.idempotency_key.encode(), trace_format.KEY_BYTES)
+        if request.idempotency_key
         else ""
     )
-    body = trace_format.digest(salt, order.body)
+    body = trace_format.digest(salt, request.body)
     return TraceRecord(
-        order.arrival_ms,
-        order.cls.name,
-        order.tenant,
-        order.criticality,
-        order.memory_kb,
-        order.cls.deadline_ms,
-        len(order.body),
+        request.arrival_ms,
+        request.cls.name,
+        request.tenant,
+        request.criticality,
+        request.memory_kb,
+        request.cls.deadline_ms,
+        len(request.body),
         body,
         key,
     )
 
 
 def replay(
-    found: Trace,
+    trace: Trace,
     speed: float,
     seed: int,
     classes: tuple[ClassSpec, ...] = traffic.CLASSES,
     retries: bool = False,
 ) -> list[Request]:
-    """Return the requests of a trace, ``speed`` times as fast.
+    """Return the requests of a trace, replayed ``speed`` times as fast.
 
-    Marked retries are left out unless ``retries`` is set: the balancers of the replay make their own. A body
-    is made from its hash, so that equal ones stay equal; a run's cost is drawn from the seed by its class.
+    Marked retries are left out unless ``retries`` is set, since the balancers of the replay make their own
+    retries. A body is generated from its hash, so that equal bodies stay equal. The cost of a run is drawn
+    from the seed and depends on the class of the request.
 
     Raises:
-        TraceError: for a class that is not known here.
+        TraceError: the trace contains a class that is not one of ``classes``.
     """
     by_name = {cls.name: cls for cls in classes}
-    if unknown := sorted({record.class_name for record in found.records} - set(by_name)):
+    if unknown := sorted({record.class_name for record in trace.records} - set(by_name)):
         raise TraceError([f"class {unknown[0]!r} is not known here; known: {', '.join(by_name)}"])
-    orders: list[Request] = []
-    for record in found.records:
+    requests: list[Request] = []
+    for record in trace.records:
         if record.is_retry and not retries:
             continue
-        cls, number = by_name[record.class_name], len(orders)
+        cls, number = by_name[record.class_name], len(requests)
         rng = random.Random(f"{seed} {record.body_digest or number} {number}")
         drawn = traffic.draw_request(rng, record.at_ms / speed, number, classes, cls)
         body = bytes.fromhex(record.body_digest or f"{number:016x}")
-        repeated = (body * (record.body_bytes // max(1, len(body)) + 1))[: record.body_bytes]
+        repeated_body = (body * (record.body_bytes // max(1, len(body)) + 1))[: record.body_bytes]
         is_known = record.tenant in traffic.TENANT_INDEX
-        department = record.tenant if is_known else drawn.tenant
-        orders.append(
+        tenant_name = record.tenant if is_known else drawn.tenant
+        requests.append(
             drawn._replace(
-                tenant=department,
+                tenant=tenant_name,
                 criticality=record.criticality,
                 memory_kb=record.queued_memory_kb,
-                body=repeated,
+                body=repeated_body,
                 plan=RunPlan(drawn.plan.work_parts_ms, record.queued_memory_kb),
                 idempotency_key=record.key_digest
                 if cls.has_idempotency_key and record.key_digest
                 else drawn.idempotency_key,
             )
         )
-    return orders
+    return requests
--- a/tests/test_load_run.py
+++ b/tests/test_load_run.py
@@ -95,7 +95,7 @@
         ((BALANCER_PROFILES["once"], 1.0),),
         rows.extend,
         wall_clock=wall,  # type: ignore[arg-type]
-        dialect=dialect,  # type: ignore[arg-type]
+        protocol=dialect,  # type: ignore[arg-type]
     )
     yield loop, made, rows
     listener.close()
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize(
     ("form", "data", "words"),
     [
-        ("csv", b"when,what\n1,order\n", [":1: the head line should name", "at and class"]),
+        ("csv", b"when,what\n1,order\n", [":1: the header line should name", "at and class"]),
         ("csv", CSV.replace(b"350.5", b"late"), [":3: at: 'late'"]),
         ("csv", CSV.replace(b"tributi,", b"tributi,0.5,7"), [":3:", "past the last column"]),
         ("csv", CSV + b'order,"12', ["not CSV"]),
