--- a/bench/simulation_scale.py
+++ b/bench/simulation_scale.py
@@ -50,7 +50,7 @@
     virtual_s = (network.now_ms - START_MS) / 1000.0
     broken = sum(cluster.checker.counts.values())
     summary = f"{virtual_s:.1f} virtual s, worth {cluster.tally.value_fraction():.3f}, rules broken {broken}"
-    requests = len(cluster.orders)
+    requests = len(cluster.requests)
     return Run(virtual_s / cpu_s, cpu_s / requests * 1000.0, requests, summary)
 
 
--- a/spindlerelay/testbed/cluster/__init__.py
+++ b/spindlerelay/testbed/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Clusters of real nodes, with emulations of everything that they talk to, in one process or in several."""
+"""Clusters of real nodes among emulated peers (balancers, machines, stores), in one process or in several."""
--- a/spindlerelay/testbed/cluster/balancers.py
+++ b/spindlerelay/testbed/cluster/balancers.py
@@ -1,7 +1,7 @@
 """The balancers of one process of a cluster.
 
-They send the request stream and record what came of each request. Which node a request goes to,
-and when it is retried, is decided by the models in ``testbed.models``.
+They send the request stream and record the outcome of each request. The models in ``testbed.models`` select
+the node of an attempt and decide about retries.
 """
 
 from __future__ import annotations
@@ -22,200 +22,246 @@
 from spindlerelay.testbed.models.retry_path import NextStep, Response, RetryPath
 from spindlerelay.testbed.tally import OutcomeTally
 
-ANSWER_GRACE_MS = 500.0  # past its deadline a balancer still accepts a request's late answer
-FINISH_GRACE_MS = 1000.0  # past the longest deadline, until open requests are given up
+# How long after its deadline a request still accepts a late response.
+RESPONSE_GRACE_MS = 500.0
+# How long a run waits for open requests, after the end of the stream and the longest deadline.
+FINISH_GRACE_MS = 1000.0
 
 
 class PendingRequest:
-    """One request at its balancer, until it has ended. Times in Unix ms."""
+    """One request at its balancer, until it has ended.
 
-    __slots__ = ("order", "retry_path", "sent_at", "balancer", "open_attempts")
+    Attributes:
+        request: the request as it was drawn.
+        retry_path: model that decides about the attempts of the request.
+        scheduled_at: time in Unix ms at which the request was due to be sent; latency counts from it.
+        balancer: index of the balancer.
+        open_attempts: node of each open attempt, by call identifier.
+    """
+
+    __slots__ = ("request", "retry_path", "scheduled_at", "balancer", "open_attempts")
 
-    def __init__(self, order: traffic.Request, retry_path: RetryPath, sent_at: float, balancer: int) -> None:
-        self.order = order
+    def __init__(
+        self, request: traffic.Request, retry_path: RetryPath, scheduled_at: float, balancer: int
+    ) -> None:
+        self.request = request
         self.retry_path = retry_path
-        self.sent_at = sent_at
+        self.scheduled_at = scheduled_at
         self.balancer = balancer
-        self.open_attempts: dict[str, str] = {}  # their nodes, by call
+        self.open_attempts: dict[str, str] = {}
 
 
 class BalancerPool:
     """The balancers of one process.
 
-    ``put`` carries an attempt to its node's pool, whose answer comes back to ``answered``.
+    ``send_attempt`` passes an attempt to the pool of its node; the response comes back through
+    ``handle_response``.
+
+    Attributes:
+        balancers: the balancers of this process by index; ``owned_indices`` names them.
+        tally: statistics of arrivals and outcomes.
+        rows: one row for each ended request, in the format of ``load_generation.outcomes``.
+        open_requests: number of requests that have been sent and have not ended.
+        started_at: time of the first request in Unix ms; 0 before the run has started.
+        max_send_delay_ms: longest delay of a request between its scheduled and its actual time.
+        attempt_times: time of each attempt in ms since the first request.
+        attempt_balancers: index of the balancer of each attempt, parallel to ``attempt_times``.
+        attempt_nodes: index of the node of each attempt, parallel to ``attempt_times``.
     """
 
     def __init__(
         self,
         context: RunContext,
-        own: Iterable[int],
+        owned_indices: Iterable[int],
         send_attempt: Callable[[Attempt], None],
     ) -> None:
-        spec, orders, rng = context.spec, context.orders, context.rng
-        every_balancer = {
-            index: Balancer(habit, random.Random(rng.random()), CallerPosition(index, len(spec.balancers)))
-            for index, habit in enumerate(spec.balancers)
+        spec, requests, rng = context.spec, context.requests, context.rng
+        all_balancers = {
+            balancer_index: Balancer(
+                profile, random.Random(rng.random()), CallerPosition(balancer_index, len(spec.balancers))
+            )
+            for balancer_index, profile in enumerate(spec.balancers)
         }
         self.send_attempt = send_attempt
-        self.balancers = {index: every_balancer[index] for index in own}
+        self.balancers = {balancer_index: all_balancers[balancer_index] for balancer_index in owned_indices}
         self.tally = OutcomeTally(spec.classes)
-        self.rows = bytearray()  # one a request, as in load_generation.outcomes
+        self.rows = bytearray()
         self.open_requests = 0
-        self.started_at = 0.0  # of the first request, in Unix ms; 0 before
-        self.max_send_delay_ms = 0.0  # longest that a request was sent later than meant
-        self.attempt_times = array("d")  # of each attempt: time in ms since the first request
-        self.attempt_balancers = array("H")  # and its balancer
-        self.attempt_nodes = array("H")  # and its node
+        self.started_at = 0.0
+        self.max_send_delay_ms = 0.0
+        self.attempt_times = array("d")
+        self.attempt_balancers = array("H")
+        self.attempt_nodes = array("H")
         self._loop = context.loop
         self._spec = spec
         self._rng = rng
-        self._length_ms = spec.length_ms(orders)
-        self._ended: set[int] = set()
-        self._pending: dict[str, PendingRequest] = {}  # by call
-        self._send_delays: dict[int, float] = {}  # of open requests, in ms
+        self._length_ms = spec.length_ms(requests)
+        self._ended_numbers: set[int] = set()
+        self._pending: dict[str, PendingRequest] = {}  # by call identifier
+        self._send_delays: dict[int, float] = {}  # by number of the open request, in ms
         weights = spec.balancer_weights or (1.0,) * len(spec.balancers)
-        assigned = ((order, index_by_weight(weights, order.number)) for order in orders)
-        self._requests = [(order, index) for order, index in assigned if index in self.balancers]
+        assigned = ((request, index_by_weight(weights, request.number)) for request in requests)
+        self._requests = [
+            (request, balancer_index)
+            for request, balancer_index in assigned
+            if balancer_index in self.balancers
+        ]
         self._next_request = 0
-        self._by_deadline: dict[str, deque[PendingRequest]] = {each.name: deque() for each in spec.classes}
-        self._longest_deadline_ms = max(each.deadline_ms for each in spec.classes)
+        # Requests by class, in order of their deadlines.
+        self._by_deadline: dict[str, deque[PendingRequest]] = {cls.name: deque() for cls in spec.classes}
+        self._longest_deadline_ms = max(cls.deadline_ms for cls in spec.classes)
         self._node_numbers = {name: number for number, name in enumerate(spec.node_names())}
 
-    def learn(self, nodes: list[Instance]) -> None:
-        """Give every balancer a new endpoint list."""
+    def update_endpoints(self, nodes: list[Instance]) -> None:
+        """Pass a new endpoint list to every balancer."""
         for balancer in self.balancers.values():
             balancer.update_nodes(nodes, self._loop.now())
 
     def tick(self, now: float) -> float:
-        """Send what is due and expire what is overdue; return ms since the first request."""
-        at = now - self.started_at
+        """Send due requests, expire overdue requests, and return the time in ms since the first request."""
+        elapsed_ms = now - self.started_at
         while (
             self._next_request < len(self._requests)
-            and self._requests[self._next_request][0].arrival_ms <= at
+            and self._requests[self._next_request][0].arrival_ms <= elapsed_ms
         ):
-            order, index = self._requests[self._next_request]
+            request, balancer_index = self._requests[self._next_request]
             self._next_request += 1
-            self.max_send_delay_ms = max(self.max_send_delay_ms, at - order.arrival_ms)
-            self._send(order, index)
-        for pending in self._by_deadline.values():
-            while pending and now > pending[0].sent_at + pending[0].order.cls.deadline_ms + ANSWER_GRACE_MS:
-                self._expire(pending.popleft())
-        return at
-
-    def finished(self, at: float) -> bool:
-        """Return whether every request has ended, or never will."""
-        given_up_at = self._length_ms + self._longest_deadline_ms + FINISH_GRACE_MS
-        return at >= self._length_ms and (not self.open_requests or at > given_up_at)
+            self.max_send_delay_ms = max(self.max_send_delay_ms, elapsed_ms - request.arrival_ms)
+            self._send(request, balancer_index)
+        for queue in self._by_deadline.values():
+            while (
+                queue and now > queue[0].scheduled_at + queue[0].request.cls.deadline_ms + RESPONSE_GRACE_MS
+            ):
+                self._expire(queue.popleft())
+        return elapsed_ms
+
+    def finished(self, elapsed_ms: float) -> bool:
+        """Return whether every request has ended or the time limit for open requests has passed."""
+        wait_ends_at = self._length_ms + self._longest_deadline_ms + FINISH_GRACE_MS
+        return elapsed_ms >= self._length_ms and (not self.open_requests or elapsed_ms > wait_ends_at)
 
     def finish(self) -> None:
-        """Record the requests that have not ended as lost."""
-        for order, _ in self._requests[: self._next_request]:
-            if order.number not in self._ended:
-                self._add_row(order, 0, "lost", order.cls.deadline_ms, "no answer", False)
+        """Record the requests that were sent and have not ended as lost."""
+        for request, _ in self._requests[: self._next_request]:
+            if request.number not in self._ended_numbers:
+                self._add_row(request, 0, "lost", request.cls.deadline_ms, "no answer", False)
 
-    def _send(self, order: traffic.Request, index: int) -> None:
+    def _send(self, request: traffic.Request, balancer_index: int) -> None:
         self.open_requests += 1
-        self.tally.request_arrived(order.cls, order.arrival_ms)
-        at = self.started_at + order.arrival_ms
-        self._send_delays[order.number] = self._loop.now() - at
+        self.tally.request_arrived(request.cls, request.arrival_ms)
+        scheduled_at = self.started_at + request.arrival_ms
+        self._send_delays[request.number] = self._loop.now() - scheduled_at
         retry_path = RetryPath(
-            self.balancers[index], at + order.cls.deadline_ms, order.criticality, bool(order.idempotency_key)
+            self.balancers[balancer_index],
+            scheduled_at + request.cls.deadline_ms,
+            request.criticality,
+            bool(request.idempotency_key),
         )
-        request = PendingRequest(order, retry_path, at, index)
-        self._by_deadline[order.cls.name].append(request)
-        self._follow(request, retry_path.next_attempt(self._loop.now()))
+        pending = PendingRequest(request, retry_path, scheduled_at, balancer_index)
+        self._by_deadline[request.cls.name].append(pending)
+        self._execute_step(pending, retry_path.next_attempt(self._loop.now()))
 
-    def resend(self, order: traffic.Request, node: str) -> None:
-        """Send a request once more, to one node, with the full time that it was given at first."""
-        now, index = self._loop.now(), next(iter(self.balancers))
+    def resend(self, request: traffic.Request, node: str) -> None:
+        """Send a request again to the given node, with a new deadline of full length."""
+        now, balancer_index = self._loop.now(), next(iter(self.balancers))
         retry_path = RetryPath(
-            self.balancers[index], now + order.cls.deadline_ms, order.criticality, bool(order.idempotency_key)
+            self.balancers[balancer_index],
+            now + request.cls.deadline_ms,
+            request.criticality,
+            bool(request.idempotency_key),
         )
         retry_path.next_attempt(now)
-        self._send_attempt(PendingRequest(order, retry_path, now, index), node)
+        self._send_attempt(PendingRequest(request, retry_path, now, balancer_index), node)
 
-    def _follow(self, request: PendingRequest, step: NextStep) -> None:
-        """Do what the retry path decided."""
+    def _execute_step(self, pending: PendingRequest, step: NextStep) -> None:
+        """Execute a decision of the retry path."""
         if step.kind == "try":
             assert step.node
-            self._send_attempt(request, step.node.id)
+            self._send_attempt(pending, step.node.id)
         elif step.kind == "pause":
-            self._loop.call_later(step.delay_ms, partial(self._retry, request))
+            self._loop.call_later(step.delay_ms, partial(self._retry, pending))
         elif step.kind == "end":
-            self._end(request, step.outcome, self._loop.now() - request.sent_at, step.reason)
+            self._end_request(pending, step.outcome, self._loop.now() - pending.scheduled_at, step.reason)
 
-    def _retry(self, request: PendingRequest) -> None:
-        self._follow(request, request.retry_path.next_attempt(self._loop.now()))
+    def _retry(self, pending: PendingRequest) -> None:
+        self._execute_step(pending, pending.retry_path.next_attempt(self._loop.now()))
 
-    def _send_attempt(self, request: PendingRequest, node: str) -> None:
-        now, retry_path = self._loop.now(), request.retry_path
-        call = f"{self._rng.getrandbits(64):016x}"
-        self._pending[call] = request
-        request.open_attempts[call] = node
+    def _send_attempt(self, pending: PendingRequest, node: str) -> None:
+        now, retry_path = self._loop.now(), pending.retry_path
+        call_id = f"{self._rng.getrandbits(64):016x}"
+        self._pending[call_id] = pending
+        pending.open_attempts[call_id] = node
         self.attempt_times.append(now - self.started_at)
-        self.attempt_balancers.append(request.balancer)
+        self.attempt_balancers.append(pending.balancer)
         self.attempt_nodes.append(self._node_numbers[node])
         if hedge_delay_ms := retry_path.next_attempt_delay_ms():
-            self._loop.call_later(hedge_delay_ms, partial(self._hedge, call))
-        due = request.sent_at + request.order.cls.deadline_ms
-        marked = retry_path.is_marked_retry(retry_path.attempts)
-        self.send_attempt(Attempt(call, request.order.number, request.balancer, node, now, due, marked))
-
-    def _hedge(self, call: str) -> None:
-        """Send a hedged request elsewhere; the first node is not notified, and the first result counts."""
-        if request := self._pending.get(call):
-            self._retry(request)
-
-    def answered(self, call: str, answer: Response, partial_result: bool) -> None:
-        """Take the answer to an attempt; one that has expired is ignored."""
-        request = self._pending.pop(call, None)
-        if request is None:
+            self._loop.call_later(hedge_delay_ms, partial(self._hedge, call_id))
+        deadline = pending.scheduled_at + pending.request.cls.deadline_ms
+        is_marked_retry = retry_path.is_marked_retry(retry_path.attempts)
+        self.send_attempt(
+            Attempt(call_id, pending.request.number, pending.balancer, node, now, deadline, is_marked_retry)
+        )
+
+    def _hedge(self, call_id: str) -> None:
+        """Send a hedged attempt to another node; the first node is not notified, the first result counts."""
+        if pending := self._pending.get(call_id):
+            self._retry(pending)
+
+    def handle_response(self, call_id: str, response: Response, partial_result: bool) -> None:
+        """Handle the response to an attempt; a response to an expired attempt is ignored."""
+        pending = self._pending.pop(call_id, None)
+        if pending is None:
             return
-        node, now = request.open_attempts.pop(call), self._loop.now()
-        step = request.retry_path.on_response(now, node, answer)
+        node, now = pending.open_attempts.pop(call_id), self._loop.now()
+        step = pending.retry_path.on_response(now, node, response)
         if step.kind == "end" and step.outcome == "served":
-            self._end(request, "served", now - request.sent_at, "", partial_result)
+            self._end_request(pending, "served", now - pending.scheduled_at, "", partial_result)
         else:
-            self._follow(request, step)
+            self._execute_step(pending, step)
 
-    def _expire(self, request: PendingRequest) -> None:
-        """Give a request up; its nodes are not notified, and its connections stay open."""
+    def _expire(self, pending: PendingRequest) -> None:
+        """End a request without a response; its nodes are not notified, and the connections stay open."""
         now = self._loop.now()
-        for call, node in request.open_attempts.items():
-            del self._pending[call]
-            request.retry_path.release_attempt(now, node)
-        request.open_attempts.clear()
-        self._follow(request, request.retry_path.expire())
-
-    def _end(
-        self, request: PendingRequest, end: str, took_ms: float, reason: str, partial_result: bool = False
+        for call_id, node in pending.open_attempts.items():
+            del self._pending[call_id]
+            pending.retry_path.release_attempt(now, node)
+        pending.open_attempts.clear()
+        self._execute_step(pending, pending.retry_path.expire())
+
+    def _end_request(
+        self,
+        pending: PendingRequest,
+        outcome: str,
+        latency_ms: float,
+        reason: str,
+        partial_result: bool = False,
     ) -> None:
-        order = request.order
-        if order.number in self._ended:
+        request = pending.request
+        if request.number in self._ended_numbers:
             return
-        self._ended.add(order.number)
+        self._ended_numbers.add(request.number)
         self.open_requests -= 1
-        self.tally.request_ended(order.cls, order.arrival_ms, end, took_ms, partial_result)
-        self._add_row(order, request.retry_path.attempts, end, took_ms, reason, partial_result)
+        self.tally.request_ended(request.cls, request.arrival_ms, outcome, latency_ms, partial_result)
+        self._add_row(request, pending.retry_path.attempts, outcome, latency_ms, reason, partial_result)
 
     def _add_row(
         self,
-        order: traffic.Request,
+        request: traffic.Request,
         attempts: int,
-        end: str,
-        took_ms: float,
+        outcome: str,
+        latency_ms: float,
         reason: str,
         partial_result: bool,
     ) -> None:
         self.rows += Outcome(
-            order.arrival_ms,
-            self._send_delays.pop(order.number, 0.0),
-            order.number,
-            took_ms,
+            request.arrival_ms,
+            self._send_delays.pop(request.number, 0.0),
+            request.number,
+            latency_ms,
             attempts,
-            self._spec.classes.index(order.cls),
-            traffic.TENANT_INDEX[order.tenant],
-            end,
+            self._spec.classes.index(request.cls),
+            traffic.TENANT_INDEX[request.tenant],
+            outcome,
             reason,
             partial_result,
         ).to_row()
--- a/spindlerelay/testbed/cluster/cluster.py
+++ b/spindlerelay/testbed/cluster/cluster.py
@@ -1,7 +1,7 @@
-"""A cluster in one process: nodes, balancers, and the services that all nodes share, on one loop.
+"""A cluster in one process: nodes, balancers, and the services that all nodes share, on one event loop.
 
-It starts the nodes, plays the request stream tick by tick, and ends when every request has ended. Everything
-is on loopback or in a simulation; ``close`` ends every process that it started.
+The cluster starts the nodes, sends the request stream tick by tick, and stops when every request has ended.
+All sockets are on loopback or in a simulation; ``close`` kills every process that the cluster started.
 """
 
 from __future__ import annotations
@@ -39,9 +39,18 @@
 
 
 class Cluster:
-    """One run in one process.
+    """One cluster run in one process.
 
-    ``on_tick`` is called at each tick with ms since the first request; it injects the faults of a scenario.
+    ``on_tick`` is called at each tick with the time in ms since the first request; it injects the faults of a
+    scenario.
+
+    Attributes:
+        requests: the whole request stream.
+        stores: the dependencies by name; a single ``store`` if the specification has no dependencies.
+        store: the first of ``stores``.
+        announced_list: the endpoint list of the announce service.
+        failures: attempts that did not succeed, by reason.
+        skipped_calls: skipped dependency calls by class.
     """
 
     def __init__(
@@ -52,7 +61,7 @@
     ) -> None:
         self.spec = spec
         self.capacity = spec.capacity_per_s()
-        self.orders = spec.draw_requests()
+        self.requests = spec.draw_requests()
         self._on_tick = on_tick
         self._workspace = workspace or LoopbackWorkspace()
         rng = random.Random(spec.seed)
@@ -65,7 +74,7 @@
         self.stores = self._open_stores()
         self.store = next(iter(self.stores.values()))
         self._announce = AnnounceReceiver(self.loop, self._workspace.system, self.announced_list)
-        context = RunContext(self.loop, self._workspace, spec, self.orders, rng)
+        context = RunContext(self.loop, self._workspace, spec, self.requests, rng)
         directory = Path(self._temporary_directory.name)
         peers = self._peer_addresses()
         self.node_pool = NodePool(context, spec.node_names(), directory, peers, self._attempt_ended)
@@ -83,17 +92,20 @@
 
     @property
     def started_at(self) -> float:
-        """Return when the first request was due, in Unix ms; 0 before the run has begun."""
+        """Return the time of the first request in Unix ms; 0 before the run has started."""
         return self.balancer_pool.started_at
 
     @property
     def open_requests(self) -> int:
-        """Return how many requests have not ended."""
+        """Return the number of requests that have been sent and have not ended."""
         return self.balancer_pool.open_requests
 
     @property
     def max_send_delay_ms(self) -> float:
-        """Return the longest that a request was sent later than meant: this process was too slow."""
+        """Return the longest delay between the scheduled and the actual time of a request.
+
+        A long delay means that this process was too slow to send the stream on time.
+        """
         return self.balancer_pool.max_send_delay_ms
 
     def _peer_addresses(self) -> PeerAddresses:
@@ -107,11 +119,15 @@
     def _open_stores(self) -> dict[str, StoreServer]:
         if not self.spec.dependencies:
             return {"store": self._serve(LOOPBACK, self.store_model)}
-        return {each.name: self._open_store(each, i) for i, each in enumerate(self.spec.dependencies)}
+        return {
+            dependency.name: self._open_store(dependency, index)
+            for index, dependency in enumerate(self.spec.dependencies)
+        }
 
     def _open_store(self, dependency: EmulatedDependency, index: int) -> StoreServer:
         model = SharedStore(dependency.spec, self.loop.now(), self.spec.seed * 100 + index)
-        # A port that no connection is given: a store that was down must find it free again.
+        # The port lies below the kernel's ephemeral range, so that no connection occupies it while the
+        # store is down.
         return self._serve(("127.0.0.1", self._workspace.port()), model)
 
     def _serve(self, address: tuple[str, int], model: SharedStore) -> StoreServer:
@@ -119,15 +135,15 @@
             self.loop,
             address,
             model,
-            lambda call, _: self.node_pool.attempts.call_cost_ms(call),
-            lambda call: self.node_pool.attempts.node_of(call),
+            lambda call_id, _: self.node_pool.attempts.call_cost_ms(call_id),
+            lambda call_id: self.node_pool.attempts.node_of(call_id),
         )
 
     def run(self) -> None:
-        """Start the nodes, play the stream, and wait for the last answer.
+        """Start the nodes, send the request stream, and wait for the last response.
 
         Raises:
-            ClusterError: where the nodes do not come up, a tick fails, or a node logs an internal error.
+            ClusterError: if the nodes do not come up, a tick fails, or a node logs an internal error.
         """
         try:
             for host in self.hosts.values():
@@ -141,11 +157,11 @@
             self._check_logs()
         finally:
             self.close()
-        if self._failure:  # not from within the loop, which survives whatever its timers raise
+        if self._failure:  # raised here because the event loop survives exceptions of its timers
             raise ClusterError(self._failure)
 
     def _check_logs(self) -> None:
-        """Fail the run where a node has logged an internal error, which it survives by design."""
+        """Fail the run if a node has logged an internal error, which the node survives by design."""
         for host in self.hosts.values():
             if errors := internal_errors(host.log):
                 self._failure = self._failure or f"{host.name} logged an internal error: {errors[0]}"
@@ -165,32 +181,35 @@
         self._failure = reason
         self.loop.running = False
 
-    def _ready(self, now: float) -> bool:
+    def _is_ready(self, now: float) -> bool:
         if not self.node_pool.up():
             return False
         if self.spec.endpoint_source == "catalogue":
-            return all(len(b.nodes) == len(self.hosts) for b in self.balancer_pool.balancers.values())
+            return all(
+                len(balancer.nodes) == len(self.hosts) for balancer in self.balancer_pool.balancers.values()
+            )
         return len(self.announced_list.visible_nodes(now)) == len(self.hosts)
 
     def _tick(self) -> None:
         try:
-            self._step()
-        except Exception as error:  # the loop would survive it, and the run would never end
-            self._fail(f"the stage failed: {error!r}")
+            self._run_tick()
+        except Exception as error:
+            # The event loop survives exceptions of its timers, so the run would never end.
+            self._fail(f"a tick of the cluster failed: {error!r}")
             raise
 
-    def _step(self) -> None:
+    def _run_tick(self) -> None:
         now = self.loop.now()
         next_tick_at = now + TICK_MS
         self.node_pool.tick(now)
         self._tick_stores(now)
         self.announced_list.tick(now)
         if self.spec.endpoint_source == "announce":
-            self._learn(self.announced_list.visible_nodes(now))
+            self._update_announced(self.announced_list.visible_nodes(now))
         if not self.started_at:
-            self.balancer_pool.started_at = self.node_pool.started_at = now if self._ready(now) else 0.0
+            self.balancer_pool.started_at = self.node_pool.started_at = now if self._is_ready(now) else 0.0
         else:
-            self._play(now)
+            self._advance_run(now)
         self.node_pool.housekeep(now)
         if not self._ended:
             self.loop.timers.schedule(max(next_tick_at, self.loop.now()), self._tick)
@@ -204,34 +223,34 @@
                 )
             store.tick(now)
 
-    def _learn(self, announced: frozenset[str]) -> None:
+    def _update_announced(self, announced: frozenset[str]) -> None:
         if announced == self._announced:
             return
         self._announced = announced
         endpoints = [
             Instance(name, self.hosts[name].address, "passing", DEFAULT_WEIGHT) for name in sorted(announced)
         ]
-        self.balancer_pool.learn(endpoints)
+        self.balancer_pool.update_endpoints(endpoints)
 
-    def _play(self, now: float) -> None:
-        at = self.balancer_pool.tick(now)
+    def _advance_run(self, now: float) -> None:
+        elapsed_ms = self.balancer_pool.tick(now)
         if self._on_tick:
-            self._on_tick(at)
-        if self.balancer_pool.finished(at):
+            self._on_tick(elapsed_ms)
+        if self.balancer_pool.finished(elapsed_ms):
             self._ended = True
             self.checker.run_finished(now)
             self.balancer_pool.finish()
             self.loop.running = False
 
-    def _attempt_ended(self, attempt: Attempt, answer: Response, partial_result: bool) -> None:
-        self.balancer_pool.answered(attempt.call, answer, partial_result)
+    def _attempt_ended(self, attempt: Attempt, response: Response, partial_result: bool) -> None:
+        self.balancer_pool.handle_response(attempt.call_id, response, partial_result)
 
-    def resend(self, order: traffic.Request, node: str) -> None:
-        """Send a request once more, to one node."""
-        self.balancer_pool.resend(order, node)
+    def resend(self, request: traffic.Request, node: str) -> None:
+        """Send a request again to the given node."""
+        self.balancer_pool.resend(request, node)
 
     def close(self) -> None:
-        """End every process and close every socket of the cluster."""
+        """Kill every node process and close every socket of the cluster."""
         for watcher in self._watchers:
             watcher.stop()
         self.node_pool.close()
--- a/spindlerelay/testbed/cluster/coordinator.py
+++ b/spindlerelay/testbed/cluster/coordinator.py
@@ -1,7 +1,8 @@
-"""The coordinator of a cluster in several processes: it begins and ends a run and makes one record of it.
+"""The coordinator of a cluster in several processes.
 
-It owns the endpoint list and the shared store; nodes and balancers are in the shards. A shard that dies,
-falls silent or falls behind makes the run void, and the record says which.
+The coordinator starts and finishes a run and merges the results of the shards into one record. It owns the
+endpoint list and the shared store; nodes and balancers are in the shards. A shard that dies, stops sending
+heartbeats or falls behind makes the run void, and the record names the shard.
 """
 
 from __future__ import annotations
@@ -38,16 +39,20 @@
 from spindlerelay.transport.event_loop import EventLoop
 from spindlerelay.transport.system import HOST_SYSTEM
 
-START_TIMEOUT_MS = 90_000.0  # for all nodes to come up: hundreds share a few cores
-MAX_DELAY_MS = 250.0  # that a shard may send a request, or come to a tick, later than meant
-BEGIN_LEAD_MS = 500.0  # between announcing when the stream begins and its beginning
-MEMBERSHIP_BEGIN_LEAD_MS = 4000.0  # the same where nodes first have to find one another
+START_TIMEOUT_MS = 90_000.0  # hundreds of nodes start on a few cores
+MAX_DELAY_MS = 250.0  # a shard that sends a request or runs a tick later than this makes the run void
+BEGIN_LEAD_MS = 500.0  # time between the announcement of the first request and the first request
+MEMBERSHIP_BEGIN_LEAD_MS = 4000.0  # lead for clusters whose nodes first have to find one another by gossip
 
 
 class Coordinator:
-    """One run of a specification on so many shards.
+    """One run of a specification on a number of shards.
 
-    ``heartbeat_timeout_ms`` is how long a shard may stay silent once the stream has begun.
+    A shard that sends no message for ``heartbeat_timeout_ms`` after the stream has started is lost.
+
+    Attributes:
+        started_at: time of the first request in Unix ms; 0 before the time has been announced.
+        shards: the shard processes in the order of their numbers.
     """
 
     def __init__(
@@ -55,21 +60,21 @@
     ) -> None:
         self.spec = spec._replace(network_number=os.getpid())
         self.loop = EventLoop()
-        self.started_at = 0.0  # when the first request is due, in Unix ms; 0 before that is known
+        self.started_at = 0.0
         self._heartbeat_timeout_ms = heartbeat_timeout_ms
         self._temporary_directory = tempfile.TemporaryDirectory(prefix="stage-")
-        self._orders = self.spec.draw_requests()
-        self._roster = DelayedDiscoveryList()
+        self._requests = self.spec.draw_requests()
+        self._announced_list = DelayedDiscoveryList()
         catalogue = ConsulCatalogue(self.loop.now())
         self._agent = AgentServer(self.loop, LOOPBACK, catalogue) if spec.uses_catalogue else None
         self._catalogue_observer = CatalogueObserver(catalogue) if spec.uses_catalogue else None
         self._store = self._open_store()
-        self._announce = AnnounceReceiver(self.loop, HOST_SYSTEM, self._roster)
+        self._announce = AnnounceReceiver(self.loop, HOST_SYSTEM, self._announced_list)
         self._endpoints: list[ListedEndpoint] = []
         self._late_list_faults = [fault for fault in spec.faults if fault.kind == "late_list"]
         self._interpreters_connect_at = 0.0
         self._max_tick_delay_ms = 0.0
-        self._void: list[str] = []
+        self._void_reasons: list[str] = []
         self._finishing = False
         self._failure = ""
         directory = Path(self._temporary_directory.name)
@@ -86,14 +91,14 @@
             self.loop,
             LOOPBACK,
             model,
-            lambda _, body: call_cost_of_body(body, self._orders, store_spec.call_ms),
+            lambda _, body: call_cost_of_body(body, self._requests, store_spec.call_ms),
         )
 
     def run(self) -> RunRecord:
-        """Play the run to its end and return its record.
+        """Execute the run and return its record.
 
         Raises:
-            ClusterError: where the run does not begin.
+            ClusterError: if the run does not start.
         """
         try:
             self.loop.call_later(START_TIMEOUT_MS, self._check_started)
@@ -107,8 +112,8 @@
 
     def _check_started(self) -> None:
         if not self.started_at:
-            late = [number for number, shard in enumerate(self.shards) if not shard.up]
-            self._fail(f"the nodes of shards {late} did not come up: {self._processes.log_tails(late)}")
+            not_up = [number for number, shard in enumerate(self.shards) if not shard.up]
+            self._fail(f"the nodes of shards {not_up} did not come up: {self._processes.log_tails(not_up)}")
 
     def _fail(self, reason: str) -> None:
         self._failure = reason
@@ -128,9 +133,9 @@
         self._max_tick_delay_ms = max(self._max_tick_delay_ms, tick_delay_ms)
 
     def _mark_void(self, number: int, reason: str) -> None:
-        """Note the first reason of each shard why the run does not count."""
-        if not any(each.startswith(f"shard {number} ") for each in self._void):
-            self._void.append(f"shard {number} {reason}")
+        """Record the first reason of each shard that makes the run void."""
+        if not any(recorded.startswith(f"shard {number} ") for recorded in self._void_reasons):
+            self._void_reasons.append(f"shard {number} {reason}")
 
     def _handle_lost_shards(self, now: float) -> None:
         timeout_ms = self._heartbeat_timeout_ms if self.started_at else START_HEARTBEAT_TIMEOUT_MS
@@ -143,26 +148,27 @@
 
     def _tick(self) -> None:
         try:
-            self._step()
-        except Exception as error:  # the loop would survive it, and the run would never end
-            self._fail(f"the coordinator failed: {error!r}")
+            self._run_tick()
+        except Exception as error:
+            # The event loop survives exceptions of its timers, so the run would never end.
+            self._fail(f"a tick of the coordinator failed: {error!r}")
             raise
 
-    def _step(self) -> None:
+    def _run_tick(self) -> None:
         now = self.loop.now()
         self._store.tick(now)
-        self._roster.tick(now)
+        self._announced_list.tick(now)
         self._publish_endpoints(now)
         if not self.started_at:
-            self._begin_when_ready(now)
+            self._announce_start_when_ready(now)
         else:
-            self._play(now - self.started_at)
+            self._advance_run(now - self.started_at)
         self._handle_lost_shards(now)
         if all(shard.result is not None for shard in self.shards):
             self.loop.running = False
         self.loop.timers.schedule(max(now + TICK_MS, self.loop.now()), self._tick)
 
-    def _begin_when_ready(self, now: float) -> None:
+    def _announce_start_when_ready(self, now: float) -> None:
         up = all(shard.up for shard in self.shards)
         if up and self.spec.synchronized_start and not self._interpreters_connect_at:
             self._interpreters_connect_at = now + BEGIN_LEAD_MS
@@ -171,17 +177,17 @@
             self.started_at = now + (MEMBERSHIP_BEGIN_LEAD_MS if self.spec.uses_membership else BEGIN_LEAD_MS)
             self._processes.broadcast(Message.BEGIN, self.started_at)
 
-    def _play(self, at: float) -> None:
-        for fault in [fault for fault in self._late_list_faults if at >= fault.at_ms]:
+    def _advance_run(self, elapsed_ms: float) -> None:
+        for fault in [fault for fault in self._late_list_faults if elapsed_ms >= fault.at_ms]:
             self._late_list_faults.remove(fault)
-            self._roster.propagation_delay_ms += fault.magnitude
+            self._announced_list.propagation_delay_ms += fault.magnitude
             self.loop.call_later(fault.duration_ms, partial(self._end_late_list, fault))
         if not self._finishing and all(shard.finished for shard in self.shards):
             self._finishing = True
             self._processes.broadcast(Message.FINISH)
 
     def _end_late_list(self, fault: Fault) -> None:
-        self._roster.propagation_delay_ms -= fault.magnitude
+        self._announced_list.propagation_delay_ms -= fault.magnitude
 
     def _publish_endpoints(self, now: float) -> None:
         """Send the endpoint list to the shards when it has changed."""
@@ -190,7 +196,7 @@
         if self.spec.endpoint_source == "catalogue" and self._catalogue_observer:
             endpoints = sorted(self._catalogue_observer.endpoints)
         else:
-            endpoints = announced_endpoints(self._roster, now)
+            endpoints = announced_endpoints(self._announced_list, now)
         if endpoints != self._endpoints:
             self._endpoints = endpoints
             self._processes.broadcast(Message.ENDPOINTS, endpoints)
@@ -205,12 +211,12 @@
             observer.weight_changes if observer else [],
             self._max_tick_delay_ms,
         )
-        length_ms = self.spec.length_ms(self._orders)
-        record = merge(self.spec, len(self._orders), length_ms, results, times)
-        return record._replace(void_reasons=self._void) if self._void else record
+        length_ms = self.spec.length_ms(self._requests)
+        record = merge(self.spec, len(self._requests), length_ms, results, times)
+        return record._replace(void_reasons=self._void_reasons) if self._void_reasons else record
 
     def close(self) -> None:
-        """End every shard with its nodes, and close every socket."""
+        """Stop every shard with its nodes, and close every socket."""
         self._processes.close()
         self._store.close()
         if self._agent:
@@ -219,10 +225,10 @@
         self._temporary_directory.cleanup()
 
 
-def play(spec: ClusterSpec, shards: int) -> RunRecord:
-    """Play one run, from its first process to its last, and return its record.
+def run_cluster(spec: ClusterSpec, shards: int) -> RunRecord:
+    """Execute one cluster run on a number of shards and return its record.
 
     Raises:
-        ClusterError: where the run does not begin.
+        ClusterError: if the run does not start.
     """
     return Coordinator(spec, shards).run()
--- a/spindlerelay/testbed/cluster/endpoint_list.py
+++ b/spindlerelay/testbed/cluster/endpoint_list.py
@@ -1,6 +1,7 @@
-"""The endpoint list that balancers see: instances by the announce service or by the Consul catalogue.
+"""The endpoint list for balancers, from the announce service or from the Consul catalogue.
 
-Owns the announce service's socket. It knows when the list changed; who is told of it is the caller's matter.
+This module owns the announce service's socket and detects changes of the list; the caller distributes the
+list.
 """
 
 from __future__ import annotations
@@ -19,12 +20,17 @@
 
 
 class AnnounceReceiver:
-    """Receives the nodes' load reports as datagrams and passes them to the list."""
+    """Receives the nodes' load reports as datagrams and passes them to the announce service's list.
 
-    def __init__(self, loop: EventLoop, system: System, roster: DelayedDiscoveryList) -> None:
-        self.received_at: list[float] = []  # of each report, in ms of the loop's clock
+    Attributes:
+        received_at: arrival time of each report in ms of the event loop's clock.
+        address: address of the socket.
+    """
+
+    def __init__(self, loop: EventLoop, system: System, announced_list: DelayedDiscoveryList) -> None:
+        self.received_at: list[float] = []
         self._loop = loop
-        self._roster = roster
+        self._announced_list = announced_list
         self._sock = system.datagram_socket(LOOPBACK)
         self.address: tuple[str, int] = self._sock.getsockname()
         loop.register(self._sock, selectors.EVENT_READ, self)
@@ -34,13 +40,13 @@
         now = self._loop.now()
         try:
             while True:
-                self._roster.receive_report(now, self._sock.recv(MAX_REPORT_BYTES))
+                self._announced_list.receive_report(now, self._sock.recv(MAX_REPORT_BYTES))
                 self.received_at.append(now)
         except BlockingIOError:
             pass
 
     def on_handler_error(self) -> None:
-        """Ignore the loop's notice: the socket is closed by ``close`` alone."""
+        """Keep the socket open after an error in ``on_ready``; only ``close`` closes it."""
 
     def close(self) -> None:
         """Close the socket."""
@@ -48,7 +54,7 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """One endpoint of a list, as balancers see it."""
+    """One endpoint of the list that balancers receive."""
 
     name: str
     status: str
@@ -56,7 +62,7 @@
 
 
 class WeightChange(NamedTuple):
-    """A node's new weight in the catalogue. Time in ms of the loop's clock."""
+    """A node's new weight in the catalogue. ``at`` is in ms of the event loop's clock."""
 
     at: float
     node: str
@@ -64,7 +70,7 @@
 
 
 class CatalogueObserver:
-    """Reads the endpoints of the catalogue, and records every change of a weight."""
+    """Reads the endpoints of the catalogue and records every weight change."""
 
     def __init__(self, catalogue: ConsulCatalogue) -> None:
         self.endpoints: list[ListedEndpoint] = []
@@ -73,23 +79,27 @@
         self._index = 0
 
     def observe(self, now: float) -> None:
-        """Read the catalogue if it has changed, as its watchers do at once."""
+        """Read the catalogue if its index has changed, as a blocking query would."""
         index = self._catalogue.service_index.get(SERVICE, 0)
         if index == self._index:
             return
         self._index = index
-        before = {endpoint.name: endpoint.weight for endpoint in self.endpoints}
+        previous_weights = {endpoint.name: endpoint.weight for endpoint in self.endpoints}
         self.endpoints = []
-        states = self._catalogue.instance_states()
+        statuses = self._catalogue.instance_states()
         for service in self._catalogue.services.values():
-            status = states[service.id]
-            weight = service.weights[status == "warning"]  # most readers ignore a critical list
+            status = statuses[service.id]
+            weight = service.weights[
+                status == "warning"
+            ]  # most clients ignore critical instances and their weights
             status = "critical" if status == "maintenance" else status
             self.endpoints.append(ListedEndpoint(service.id, status, weight))
-            if before.get(service.id) != weight:
+            if previous_weights.get(service.id) != weight:
                 self.weight_changes.append(WeightChange(now, service.id, weight))
 
 
-def announced_endpoints(roster: DelayedDiscoveryList, now: float) -> list[ListedEndpoint]:
-    """Return the endpoints of the announce service, which knows neither status nor weight."""
-    return [ListedEndpoint(name, "passing", DEFAULT_WEIGHT) for name in sorted(roster.visible_nodes(now))]
+def announced_endpoints(announced_list: DelayedDiscoveryList, now: float) -> list[ListedEndpoint]:
+    """Return the endpoints of the announce service, which has neither status nor weight."""
+    return [
+        ListedEndpoint(name, "passing", DEFAULT_WEIGHT) for name in sorted(announced_list.visible_nodes(now))
+    ]
--- a/spindlerelay/testbed/cluster/errors.py
+++ b/spindlerelay/testbed/cluster/errors.py
@@ -1,4 +1,4 @@
-"""The errors of a cluster's run."""
+"""Errors of cluster runs."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class ClusterError(SpindlerelayError, RuntimeError):
-    """A run that did not begin, or whose own machinery failed. The text says why."""
+    """A cluster run did not start, or the testbed itself failed. The message states the cause."""
--- a/spindlerelay/testbed/cluster/membership_views.py
+++ b/spindlerelay/testbed/cluster/membership_views.py
@@ -1,6 +1,6 @@
-"""What nodes believe of one another, read from their logs, and compared with what was done to them.
+"""Membership views of nodes, parsed from their logs, and the failure detection quality that they show.
 
-Pure: texts and fault journals come in, figures go out.
+The functions do no I/O: they take log texts and fault journals, and return figures.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 STATUS_LINE = re.compile(r"^(\S+ \S+) DEBUG membership: (\S+) is (\w+),", re.MULTILINE)
 START_LINE = re.compile(r"^\S+ \S+ INFO \S+ listens on ", re.MULTILINE)
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S.%f"
-BELIEVED_ALIVE = ("alive", "suspect")
+ALIVE_STATUSES = ("alive", "suspect")
 
 
 class StatusChange(NamedTuple):
-    """A node's new belief of another one. ``at`` is in ms since the first request."""
+    """A status that a node has assigned to another node. ``at`` is in ms since the first request."""
 
     at: float
     subject: str
@@ -24,42 +24,50 @@
 
 
 class LoggedView(NamedTuple):
-    """A node's beliefs: the changes since the first request, and whom its last process takes for alive."""
+    """The membership view in a node's log.
+
+    Attributes:
+        changes: status changes since the first request.
+        alive: names of the nodes that the last process of the node considers alive at the end of the log.
+    """
 
     changes: list[StatusChange]
     alive: list[str]
 
 
-def read_view(log: str, begins: float) -> LoggedView:
-    """Return the view in a node's log; ``begins`` is the time of the first request in Unix ms.
+def read_view(log: str, run_started_at: float) -> LoggedView:
+    """Parse the membership view in a node's log.
 
-    A restart of the node clears what it believes.
+    ``run_started_at`` is the time of the first request in Unix ms. A restart of the node clears its view.
     """
-    starts = [match.start() for match in START_LINE.finditer(log)]
+    start_positions = [match.start() for match in START_LINE.finditer(log)]
     alive: dict[str, bool] = {}
     changes = []
     for match in STATUS_LINE.finditer(log):
-        while starts and match.start() > starts[0]:
-            starts.pop(0)
+        while start_positions and match.start() > start_positions[0]:
+            start_positions.pop(0)
             alive.clear()
         time, subject, status = match.groups()
-        alive[subject] = status in BELIEVED_ALIVE
-        at = datetime.strptime(time, TIME_FORMAT).timestamp() * 1000.0 - begins
+        alive[subject] = status in ALIVE_STATUSES
+        at = datetime.strptime(time, TIME_FORMAT).timestamp() * 1000.0 - run_started_at
         if at >= 0.0:
             changes.append(StatusChange(at, subject, status))
-    if starts:  # restarted since the last change
+    if start_positions:  # the node has restarted since the last status change
         alive.clear()
-    return LoggedView(changes, sorted(name for name, believed in alive.items() if believed))
+    return LoggedView(changes, sorted(name for name, is_alive in alive.items() if is_alive))
 
 
 class DetectionQuality(NamedTuple):
-    """How well nodes detected failures. Times in ms.
+    """Quality of the nodes' failure detection.
 
     Attributes:
-        known: time to detection of each death, for each living node and each node killed for good.
-        unknown: pairs of a living node and one killed for good that it never took for dead.
-        false: how long each false death was believed, past the pause of its subject.
-        wrong: fraction of pairs of living nodes where one does not believe the other alive in the end.
+        detection_delays_ms: time to detection for each pair of a node that was never killed and a node that
+            was killed and not restarted.
+        missed: number of these pairs without a detection.
+        false_death_durations_ms: duration of each false death, counted from the end of its subject's pause if
+            there was one.
+        wrong_fraction: fraction of the ordered pairs of living nodes in which the first node does not
+            consider the second node alive at the end of the run.
     """
 
     detection_delays_ms: list[float]
@@ -69,62 +77,78 @@
 
 
 class _NodeFaults(NamedTuple):
+    """Faults of the nodes by name of the node. Times in ms since the first request.
+
+    Attributes:
+        killed_at: time of the last kill.
+        dead_since: time of the last kill, for nodes that were killed and not restarted.
+        paused_until: end of the last pause.
+    """
+
     killed_at: dict[str, float]
-    dead_since: dict[str, float]  # nodes killed for good
+    dead_since: dict[str, float]
     paused_until: dict[str, float]
 
 
-def _faults_of(journal: list[list[Any]], end: float) -> _NodeFaults:
+def _faults_by_node(journal: list[list[Any]], end_ms: float) -> _NodeFaults:
     killed_at: dict[str, float] = {}
     restarted: set[str] = set()
     paused_until: dict[str, float] = {}
-    for at, kind, node, _, _, began, _ in sorted(journal):
-        if kind == "kill" and began:
+    for at, kind, node, _, _, started, _ in sorted(journal):
+        if kind == "kill" and started:
             killed_at[node] = at
         elif kind == "kill":
             restarted.add(node)
         elif kind == "pause":
-            paused_until[node] = end if began else at
+            paused_until[node] = end_ms if started else at
     dead_since = {node: at for node, at in killed_at.items() if node not in restarted}
     return _NodeFaults(killed_at, dead_since, paused_until)
 
 
 def detection_quality(
-    journal: list[list[Any]], changes: list[list[Any]], believed: dict[str, list[str]], end: float
+    journal: list[list[Any]], changes: list[list[Any]], alive_views: dict[str, list[str]], end_ms: float
 ) -> DetectionQuality:
-    """Compare beliefs with the faults that were injected.
+    """Compare membership views with the faults that were injected.
 
-    ``journal`` is that of a ``FaultPlayer``, ``changes`` are time, observer, subject and status, ``believed``
-    is whom each node takes for alive in the end, and ``end`` is in ms since the first request.
+    Args:
+        journal: the journal of a ``FaultPlayer``.
+        changes: status changes as lists of time, observer, subject and status.
+        alive_views: names of the nodes that each node considers alive at the end of the run.
+        end_ms: end of the run in ms since the first request.
     """
-    faults = _faults_of(journal, end)
-    living = [name for name in believed if name not in faults.dead_since]
-    detected, false = _detections(faults, changes, end)
-    pairs = [(one, other) for one in living for other in living if one != other]
-    wrong = sum(other not in set(believed[one]) for one, other in pairs)
-    # A node that was restarted may never have heard of the dead.
-    stayed = [name for name in living if name not in faults.killed_at]
-    known = [delay_ms for (observer, _), delay_ms in detected.items() if observer in stayed]
-    missed = len(faults.dead_since) * len(stayed) - len(known)
-    return DetectionQuality(known, missed, false, wrong / max(1, len(pairs)))
+    faults = _faults_by_node(journal, end_ms)
+    living = [name for name in alive_views if name not in faults.dead_since]
+    delay_by_pair, false_death_durations_ms = _detections(faults, changes, end_ms)
+    pairs = [(observer, subject) for observer in living for subject in living if observer != subject]
+    wrong_count = sum(subject not in set(alive_views[observer]) for observer, subject in pairs)
+    # A node that was restarted may never have learned of nodes that died before its restart.
+    never_killed = [name for name in living if name not in faults.killed_at]
+    detection_delays_ms = [
+        delay_ms for (observer, _), delay_ms in delay_by_pair.items() if observer in never_killed
+    ]
+    missed = len(faults.dead_since) * len(never_killed) - len(detection_delays_ms)
+    return DetectionQuality(
+        detection_delays_ms, missed, false_death_durations_ms, wrong_count / max(1, len(pairs))
+    )
 
 
 def _detections(
-    faults: _NodeFaults, changes: list[list[Any]], end: float
+    faults: _NodeFaults, changes: list[list[Any]], end_ms: float
 ) -> tuple[dict[tuple[str, str], float], list[float]]:
-    """Return the delay of each true death by observer and subject, and the durations of false ones."""
-    detected: dict[tuple[str, str], float] = {}
-    believed_dead_at: dict[tuple[str, str], float] = {}
-    false: list[float] = []
-    for at, observer, subject, status in sorted(changes, key=lambda each: each[0]):  # ties as logged
+    """Return the detection delay of each death by observer and subject, and the durations of false deaths."""
+    delay_by_pair: dict[tuple[str, str], float] = {}
+    falsely_dead_since: dict[tuple[str, str], float] = {}
+    false_death_durations_ms: list[float] = []
+    # Changes of the same time keep the order of the log.
+    for at, observer, subject, status in sorted(changes, key=lambda change: change[0]):
         pair = (observer, subject)
         if subject in faults.dead_since:
             if status == "dead" and at >= faults.dead_since[subject]:
-                detected.setdefault(pair, at - faults.dead_since[subject])
+                delay_by_pair.setdefault(pair, at - faults.dead_since[subject])
         elif status == "dead" and subject not in faults.killed_at and observer not in faults.killed_at:
-            believed_dead_at[pair] = at
-        elif status == "alive" and pair in believed_dead_at:
-            false_since = max(believed_dead_at.pop(pair), faults.paused_until.get(subject, 0.0))
-            false.append(max(0.0, at - false_since))
-    false += [end - at for at in believed_dead_at.values()]
-    return detected, false
+            falsely_dead_since[pair] = at
+        elif status == "alive" and pair in falsely_dead_since:
+            false_since = max(falsely_dead_since.pop(pair), faults.paused_until.get(subject, 0.0))
+            false_death_durations_ms.append(max(0.0, at - false_since))
+    false_death_durations_ms += [end_ms - at for at in falsely_dead_since.values()]
+    return delay_by_pair, false_death_durations_ms
--- a/spindlerelay/testbed/cluster/node_configuration.py
+++ b/spindlerelay/testbed/cluster/node_configuration.py
@@ -1,7 +1,7 @@
-"""The files that a node is started with: the platform's JSON and the operator's TOML.
+"""The configuration files of a node process: the platform's JSON and the operator's TOML.
 
-It decides through which proxies a node's links lead. Every node's seed is drawn from the given generator, in
-the order of the nodes' starts.
+The addresses in the files lead through fault-injection proxies where a link has one. The seed of each process
+is drawn from the run's random generator, in the order in which processes start.
 """
 
 from __future__ import annotations
@@ -15,13 +15,20 @@
 from spindlerelay.testbed.models import traffic
 from spindlerelay.testbed.models.machine import MachineSpec
 
-SEED_COUNT = 3  # first addresses that every node is given, where nodes talk to each other
+SEED_COUNT = 3  # the first nodes of the cluster are the gossip seeds of every node
 
 Address = tuple[str, int]
 
 
 class PeerAddresses(NamedTuple):
-    """Where the services are that all nodes share."""
+    """Addresses of the services that all nodes share.
+
+    Attributes:
+        store: address of the store.
+        announce: address of the announce service.
+        agent: address of the Consul agent; None without a catalogue.
+        dependents: name and address of each dependency.
+    """
 
     store: Address
     announce: Address
@@ -30,7 +37,7 @@
 
 
 class NodeIdentity(NamedTuple):
-    """A node as its configuration knows it, with its own addresses behind any proxies."""
+    """Values of a node that enter its configuration; the addresses are those behind any proxies."""
 
     name: str
     machine: MachineSpec
@@ -38,12 +45,12 @@
     interpreter: Address
 
 
-def _text(address: Address) -> str:
+def _host_and_port(address: Address) -> str:
     return "{}:{}".format(*address)
 
 
 class NodeConfiguration:
-    """Writes the configuration of any node of a cluster."""
+    """Creates the configuration of the nodes of a cluster."""
 
     def __init__(
         self, spec: ClusterSpec, peers: PeerAddresses, proxies: LinkProxies, rng: random.Random
@@ -56,11 +63,11 @@
         self._numbers = {name: number for number, name in enumerate(spec.node_names())}
 
     def balancer_address(self, node: NodeIdentity) -> Address:
-        """Return where balancers reach the node: its own address, or a proxy's."""
+        """Return the address that balancers connect to: that of the node or of a proxy."""
         return self._proxies.address(node.name, "balancers", node.listen)
 
     def platform_config(self, node: NodeIdentity) -> dict[str, Any]:
-        """Return the platform's JSON object for a new process of the node."""
+        """Return the platform's configuration object for a new process of the node."""
         settings = traffic.node_settings(
             node.machine,
             len(self._spec.nodes),
@@ -74,10 +81,10 @@
         announce = self._proxies.address(node.name, "announce", self._peers.announce)
         return {
             "name": node.name,
-            "listen": _text(node.listen),
-            "vm": _text(interpreter),
-            "store": _text(store),
-            "announce": _text(announce),
+            "listen": _host_and_port(node.listen),
+            "vm": _host_and_port(interpreter),
+            "store": _host_and_port(store),
+            "announce": _host_and_port(announce),
             "seed": f"{self._rng.getrandbits(64):016x}",
             "stop_ms": self._spec.stop_timeout_ms,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 512},
@@ -85,33 +92,43 @@
         }
 
     def operator_config(self, node: NodeIdentity) -> str:
-        """Return the operator's TOML for the node, empty where it has none."""
+        """Return the operator's TOML for the node; empty if the node has no operator's file."""
         if node.name in self._spec.without_operator_config:
             return ""
         text = self._spec.operator_config.replace("{name}", node.name)
         if self._spec.uses_membership:
             text += self._membership_table(node)
         addresses = dict(self._peers.dependents)
-        for each in self._spec.dependencies:
-            address = _text(addresses[each.name])
-            text += f'[[dependency]]\nname = "{each.name}"\naddress = "{address}"\n{each.toml_keys}\n'
+        for dependency in self._spec.dependencies:
+            address = _host_and_port(addresses[dependency.name])
+            text += (
+                f'[[dependency]]\nname = "{dependency.name}"\naddress = "{address}"\n{dependency.toml_keys}\n'
+            )
         if self._spec.dependencies:
             text = '[metrics]\nevery = "1s"\n' + text
         if self._peers.agent:
-            text += f'[consul]\naddress = "{_text(self._peers.agent)}"\nservice = "{SERVICE}"\n'
+            text += f'[consul]\naddress = "{_host_and_port(self._peers.agent)}"\nservice = "{SERVICE}"\n'
             text += f'ttl_ms = {self._spec.check_ttl_ms}\n[consul.meta]\nkind = "{node.machine.kind}"\n'
         return text
 
     def _membership_table(self, node: NodeIdentity) -> str:
-        """Let the node listen at its public address, or behind the proxy that stands there."""
-        member = self._spec.member_address
-        public = listen = member(self._numbers[node.name])
+        """Return the ``[log]`` and ``[membership]`` tables.
+
+        The node listens on its public address. Where the membership link has a proxy, the proxy listens on
+        the public address and the node on a higher port.
+        """
+        member_address = self._spec.member_address
+        public_address = listen = member_address(self._numbers[node.name])
         if (node.name, MEMBERSHIP_LINK) in self._proxies.proxied_links:
-            listen = public[0], public[1] + PROXIED_PORT_OFFSET
-            self._proxies.address(node.name, MEMBERSHIP_LINK, listen, public)
-        seeds = [member(number) for number in range(min(SEED_COUNT, len(self._spec.nodes)))]
-        values = {"listen": _text(listen), "advertise": _text(public), "cluster": "stage"}
+            listen = public_address[0], public_address[1] + PROXIED_PORT_OFFSET
+            self._proxies.address(node.name, MEMBERSHIP_LINK, listen, public_address)
+        seeds = [member_address(number) for number in range(min(SEED_COUNT, len(self._spec.nodes)))]
+        values = {
+            "listen": _host_and_port(listen),
+            "advertise": _host_and_port(public_address),
+            "cluster": "stage",
+        }
         lines = [f'{key} = "{value}"' for key, value in values.items()]
-        lines.append("seeds = [{}]".format(", ".join(f'"{_text(seed)}"' for seed in seeds)))
+        lines.append("seeds = [{}]".format(", ".join(f'"{_host_and_port(seed)}"' for seed in seeds)))
         lines.append(f"weigh = {str(self._spec.uses_load_weights).lower()}")
         return '[log]\nlevel = "DEBUG"\n[membership]\n' + "\n".join(lines) + "\n"
--- a/spindlerelay/testbed/cluster/node_host.py
+++ b/spindlerelay/testbed/cluster/node_host.py
@@ -1,6 +1,6 @@
-"""One node of a cluster through its restarts: its machine, its interpreter and its process.
+"""One node of a cluster across its restarts: its machine, its interpreter and its process.
 
-What a host needs of its surroundings stands in ``HostContext``; it knows nothing of the pool that it is in.
+A host reaches its cluster through ``HostContext`` and does not depend on the node pool.
 """
 
 from __future__ import annotations
@@ -32,34 +32,54 @@
 from spindlerelay.testbed.tally import MAX_LATENCY_MS
 from spindlerelay.transport.event_loop import EventLoop
 
-WARM_UPS_BEFORE_START = 10  # a machine that starts warm has been up for so many warm-up times
-WARM_MARGIN_MS = 1000.0
+WARM_UPS_BEFORE_START = 10  # uptime of a machine that starts warm, in warm-up times
+WARM_MARGIN_MS = 1000.0  # further uptime of a machine that starts warm
 
 
 class Incarnation:
-    """One process of a node, as seen from outside. Times in Unix ms, 0 where it has not happened."""
+    """One process of a node, as seen from outside. Times are in Unix ms, and 0 before the event has happened.
+
+    Attributes:
+        started_at: time of the start.
+        terminated_at: time of the SIGTERM.
+        last_answer_at: time of the last response.
+        rejections_at: time of each rejection that a balancer read.
+        exited_at: time at which the exit was noticed.
+        exit_status: exit status of the process; None before.
+        answer_count: number of responses.
+        latency: histogram of the time in ms from the sending of an attempt to its successful response.
+    """
 
-    def __init__(self, began: float) -> None:
-        self.started_at = began
-        self.terminated_at = 0.0  # SIGTERM
+    def __init__(self, started_at: float) -> None:
+        self.started_at = started_at
+        self.terminated_at = 0.0
         self.last_answer_at = 0.0
-        self.rejections_at: list[float] = []  # when each rejection was read
+        self.rejections_at: list[float] = []
         self.exited_at = 0.0
         self.exit_status: int | None = None
         self.answer_count = 0
-        self.latency = HdrHistogram(1, MAX_LATENCY_MS, 3)  # ms from receipt to a successful answer
+        self.latency = HdrHistogram(1, MAX_LATENCY_MS, 3)
 
     @property
     def first_rejection_at(self) -> float:
-        """When the first rejection was read, 0 before."""
+        """Return the time at which the first rejection was read; 0 before."""
         return self.rejections_at[0] if self.rejections_at else 0.0
 
 
 class HostContext(NamedTuple):
-    """What a host uses of its cluster.
-
-    ``on_read`` is called when its machine has read an attempt, ``on_killed`` when its process was killed, and
-    ``disconnect_balancers`` breaks the balancers' connections to it, each with the call or the node's name.
+    """Services and callbacks of the cluster that a host uses.
+
+    Attributes:
+        loop: the event loop.
+        workspace: starts processes and allocates ports.
+        spec: the specification of the run.
+        folder: directory of the node's configuration files and log.
+        checker: checks the node's behaviour against the protocol's rules.
+        attempts: the attempts of the host's pool.
+        configuration: creates the node's configuration.
+        on_read: called with the call identifier when the host's machine has read an attempt.
+        on_killed: called with the node's name when its process was killed.
+        disconnect_balancers: called with the node's name; breaks the balancers' connections to the node.
     """
 
     loop: EventLoop
@@ -75,7 +95,20 @@
 
 
 class NodeHost:
-    """One node. ``listen`` is its own address, ``address`` the one that balancers use, maybe a proxy's."""
+    """One node.
+
+    Attributes:
+        listen_address: address that the node listens on.
+        address: address that balancers connect to: ``listen_address`` or the address of a proxy.
+        machine: the model of the machine; None while the node is down.
+        process: the last process; None before the first start.
+        incarnations: all processes of the node, oldest first.
+        paused_at: time in Unix ms up to which the pause has been excluded from the checker's limits; 0 if the
+            node is not paused.
+        next_event_at: time in Unix ms of the machine's next event, if no further input arrives.
+        interpreter: the emulated interpreter.
+        log: the log file of the node's processes.
+    """
 
     def __init__(self, context: HostContext, name: str, spec: MachineSpec) -> None:
         self.name = name
@@ -85,8 +118,8 @@
         self.machine: Machine | None = None
         self.process: Process | None = None
         self.incarnations: list[Incarnation] = []
-        self.paused_at = 0.0  # 0 where it is not paused
-        self.next_event_at = 0.0  # when something happens on the machine, if nothing else comes
+        self.paused_at = 0.0
+        self.next_event_at = 0.0
         self.interpreter = EmulatedInterpreter(
             context.loop, LOOPBACK, self._run_requested, self._call_replied
         )
@@ -95,7 +128,7 @@
         self._identity = NodeIdentity(name, spec, self.listen_address, self.interpreter.address)
 
     def start(self, cold: bool) -> None:
-        """Start a new process on a new machine, cold or warmed up."""
+        """Start a new process on a new machine, which is cold or warmed up."""
         context = self._context
         now = context.loop.now()
         self.incarnations.append(Incarnation(now))
@@ -107,58 +140,58 @@
         self.address = context.configuration.balancer_address(self._identity)
         config = context.folder / f"{self.name}.json"
         config.write_text(json.dumps(context.configuration.platform_config(self._identity)))
-        operator: Path | None = None
+        operator_config: Path | None = None
         if text := context.configuration.operator_config(self._identity):
-            operator = context.folder / f"{self.name}.toml"
-            operator.write_text(text)
-        self.process = context.workspace.launch(self.name, context.spec, config, operator, self.log)
+            operator_config = context.folder / f"{self.name}.toml"
+            operator_config.write_text(text)
+        self.process = context.workspace.launch(self.name, context.spec, config, operator_config, self.log)
 
-    def _process_runs(self) -> bool:
+    def _is_running(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
-    def _signal(self, number: int) -> None:
+    def _send_signal(self, number: int) -> None:
         if self.process and self.process.poll() is None:
             self.process.send_signal(number)
 
     def terminate(self) -> None:
-        """Send SIGTERM: the node shuts down gracefully."""
-        if self._process_runs():
+        """Send SIGTERM, at which the node shuts down gracefully."""
+        if self._is_running():
             self.incarnations[-1].terminated_at = self._context.loop.now()
             self._context.checker.drain_started(self.incarnations[-1].terminated_at, self.name)
-            self._signal(signal.SIGTERM)
+            self._send_signal(signal.SIGTERM)
 
     def reload(self) -> None:
-        """Send SIGHUP: the node reads its configuration again."""
-        self._signal(signal.SIGHUP)
+        """Send SIGHUP, at which the node reloads its configuration."""
+        self._send_signal(signal.SIGHUP)
 
     def pause(self) -> None:
-        """Stop process and machine: nothing is read, run or answered."""
-        if self._process_runs() and self.machine and not self.paused_at:
-            self._signal(signal.SIGSTOP)
+        """Stop the process and the machine, so that no request is read, run or answered."""
+        if self._is_running() and self.machine and not self.paused_at:
+            self._send_signal(signal.SIGSTOP)
             self.paused_at = self._context.loop.now()
 
     def proceed(self) -> None:
-        """End a pause. Its time is excluded from the checker's time limits."""
+        """Resume a paused node. The duration of the pause is excluded from the checker's time limits."""
         if not self.paused_at:
             return
         now = self._context.loop.now()
-        self.excuse_pause(now)
+        self.exclude_pause(now)
         self.paused_at = 0.0
         if self.machine:
-            self.machine.now = now  # it did nothing in between
-        self._signal(signal.SIGCONT)
+            self.machine.now = now  # the machine did no work during the pause
+        self._send_signal(signal.SIGCONT)
 
-    def excuse_pause(self, now: float) -> None:
+    def exclude_pause(self, now: float) -> None:
         """Exclude the time of the pause up to ``now`` from the checker's time limits."""
         self._context.checker.extend_due_times(now - self.paused_at, self.name)
         self.paused_at = now
 
     def step_clock(self) -> None:
-        """Step the process's clock, where its launcher is ``testbed.settable_clock``."""
-        self._signal(signal.SIGUSR1)
+        """Step the process's clock; has an effect only with the launcher ``testbed.settable_clock``."""
+        self._send_signal(signal.SIGUSR1)
 
     def disconnect(self) -> None:
-        """Break the connections to interpreter and balancers, as a network would."""
+        """Break the connections to the interpreter and the balancers, as a network failure does."""
         self.interpreter.break_connection()
         self.disconnect_balancers()
 
@@ -167,7 +200,7 @@
         self._context.disconnect_balancers(self.name)
 
     def state(self, now: float) -> str:
-        """Return the state for reports: down, paused, leaving, cold, slow or well."""
+        """Return the state for reports: ``down``, ``paused``, ``leaving``, ``cold``, ``slow`` or ``well``."""
         if self.machine is None:
             return "down"
         if self.paused_at:
@@ -179,7 +212,7 @@
         return "slow" if self.machine.slowdown > 1.0 else "well"
 
     def kill(self) -> None:
-        """Kill process and interpreter at once."""
+        """Kill the process and stop the interpreter immediately."""
         self.paused_at = 0.0
         self._kill_process()
         self.machine = None
@@ -193,78 +226,81 @@
             self.process.wait()
 
     def has_exited(self) -> bool:
-        """Return whether the process has ended by itself; its exit status is in its life."""
+        """Return whether the process has exited; the exit status is recorded in the last incarnation."""
         if self.process is None or self.process.poll() is None:
             return False
-        life = self.incarnations[-1]
-        if not life.exited_at:
-            life.exited_at = self._context.loop.now()
-            life.exit_status = self.process.returncode
+        incarnation = self.incarnations[-1]
+        if not incarnation.exited_at:
+            incarnation.exited_at = self._context.loop.now()
+            incarnation.exit_status = self.process.returncode
             self.machine = None
             self.interpreter.restart(None)
         return True
 
     def close(self) -> None:
-        """End the process and close the interpreter's socket."""
+        """Kill the process and close the interpreter's socket."""
         self._kill_process()
         self.interpreter.close()
 
     def handle_machine_events(self, events: list[MachineEvent]) -> None:
-        """Carry what the machine has done to node and interpreter."""
+        """Pass events of the machine on to the node and the interpreter."""
         self.next_event_at = 0.0
         attempts = self._context.attempts
         for event in events:
             match event:
-                case RequestParsed(call):
-                    self._context.on_read(call)
-                case RunWaiting(call, number):
-                    self.interpreter.send_run_waiting(call, attempts.call_body(call, number))
-                    attempts.waiting_calls[call] = number
-                    if call not in attempts.open:
-                        self.end_request(call)
-                case RunEnded(call, took):
-                    self._complete_run(call, took)
-                case MachineCrashed(why):
-                    self._context.checker.machine_crashed(self.name, why)
+                case RequestParsed(call_id):
+                    self._context.on_read(call_id)
+                case RunWaiting(call_id, number):
+                    self.interpreter.send_run_waiting(call_id, attempts.call_body(call_id, number))
+                    attempts.waiting_calls[call_id] = number
+                    if call_id not in attempts.open:
+                        self.end_request(call_id)
+                case RunEnded(call_id, duration_ms):
+                    self._complete_run(call_id, duration_ms)
+                case MachineCrashed(reason):
+                    self._context.checker.machine_crashed(self.name, reason)
                     self.kill()
 
-    def end_request(self, call: str) -> None:
-        """End a run that waits for a dependency call: its request is over.
+    def end_request(self, call_id: str) -> None:
+        """Cancel the run of a request that has ended, if the run waits for a dependency call.
 
-        The protocol ends a run at its call only; a run that does not wait goes on to its end.
+        The protocol can cancel a run only at a dependency call; a run that does not wait continues to its
+        end.
         """
-        took = self.machine.cancel_waiting_run(self._context.loop.now(), call) if self.machine else None
-        if took is not None:
-            self.interpreter.send_run_ended(call, "broken_off", took, b"")
-            self._context.attempts.end_run(call)
-
-    def _complete_run(self, call: str, took: float) -> None:
-        result = b"page of " + call.encode()
-        self._context.checker.run_ended(call, self.name, result)
-        self.interpreter.send_run_ended(call, "fine", took, result)
-        self._context.attempts.end_run(call)
-
-    def _run_requested(self, call: str, cls: str, body: bytes) -> None:
+        duration_ms = (
+            self.machine.cancel_waiting_run(self._context.loop.now(), call_id) if self.machine else None
+        )
+        if duration_ms is not None:
+            self.interpreter.send_run_ended(call_id, "broken_off", duration_ms, b"")
+            self._context.attempts.end_run(call_id)
+
+    def _complete_run(self, call_id: str, duration_ms: float) -> None:
+        result = b"page of " + call_id.encode()
+        self._context.checker.run_ended(call_id, self.name, result)
+        self.interpreter.send_run_ended(call_id, "fine", duration_ms, result)
+        self._context.attempts.end_run(call_id)
+
+    def _run_requested(self, call_id: str, cls: str, body: bytes) -> None:
         context = self._context
-        context.checker.run_started(call, self.name, cls, body)
-        attempt = context.attempts.open.get(call)
+        context.checker.run_started(call_id, self.name, cls, body)
+        pending = context.attempts.open.get(call_id)
         if self.machine is None:
             return
-        if attempt is None:  # its request is over: nothing is started
-            self.interpreter.send_run_ended(call, "late", 0.0, b"")
+        if pending is None:  # the request has ended
+            self.interpreter.send_run_ended(call_id, "late", 0.0, b"")
             return
-        context.attempts.running[call] = attempt
-        self.handle_machine_events(self.machine.start_run(context.loop.now(), call, attempt.order.plan))
+        context.attempts.running[call_id] = pending
+        self.handle_machine_events(self.machine.start_run(context.loop.now(), call_id, pending.request.plan))
 
-    def _call_replied(self, call: str, reply: bytes | None) -> None:
+    def _call_replied(self, call_id: str, reply: bytes | None) -> None:
         context = self._context
-        number = context.attempts.waiting_calls.pop(call, 0)
+        number = context.attempts.waiting_calls.pop(call_id, 0)
         if not number or self.machine is None:
             return
         if reply is None:
-            context.attempts.skip_call(call)
-        elif reply != response_to(context.attempts.call_body(call, number)):
+            context.attempts.skip_call(call_id)
+        elif reply != response_to(context.attempts.call_body(call_id, number)):
             context.checker.record_violation(
-                "lost", self.name, f"{call}: a reply to a call changed on its way"
+                "lost", self.name, f"{call_id}: the reply to dependency call {number} was altered in transit"
             )
-        self.handle_machine_events(self.machine.resume_run(context.loop.now(), call))
+        self.handle_machine_events(self.machine.resume_run(context.loop.now(), call_id))
--- a/spindlerelay/testbed/cluster/node_pool.py
+++ b/spindlerelay/testbed/cluster/node_pool.py
@@ -1,8 +1,9 @@
 """The nodes of one process of a cluster, with their machines and the balancers' connections to them.
 
-An attempt waits at the node's machine until it is read there, and only then is written to the node: reading
-costs cores, whatever the node decides. The pool carries between models and sockets and decides nothing. The
-checker sees, by node, what passes on the sockets.
+An attempt waits at the node's machine until the machine has read it, and only then is written to the node,
+because reading a request costs CPU time whether the node admits it or not. The pool passes attempts and
+responses between the models and the sockets and makes no decisions. The checker observes the traffic on the
+sockets of each node.
 """
 
 from __future__ import annotations
@@ -26,16 +27,27 @@
 from spindlerelay.testbed.servers.balancer_protocols import request_fields
 from spindlerelay.testbed.tally import MAX_LATENCY_MS
 
-MAX_MACHINE_STEP_MS = 50.0  # between steps of a machine on which nothing ends: its gauges go on
+MAX_MACHINE_STEP_MS = 50.0  # longest time without a step of a busy machine, which keeps its gauges current
 HOUSEKEEPING_INTERVAL_MS = 50.0
-READ_WORK = traffic.PARSE_WORK_FRACTION * traffic.MEAN_WORK_MS
+READ_WORK_MS = traffic.PARSE_WORK_FRACTION * traffic.MEAN_WORK_MS
 RESULT_PREFIX = b"page of "
 
 
 class NodePool:
     """The nodes of one process.
 
-    ``on_end`` gets each attempt's answer once, with whether its run went on without a dependency call.
+    ``on_end`` is called once for each attempt, with the response and whether its run skipped a dependency
+    call.
+
+    Attributes:
+        checker: checks the behaviour of the nodes against the protocol's rules.
+        attempts: the attempts at the nodes of this pool.
+        failures: attempts that did not succeed, by reason.
+        rejections: rejections by node and second of the run.
+        proxies: fault-injection proxies on the links of the nodes.
+        started_at: time of the first request in Unix ms; 0 before the run has started.
+        hosts: the nodes by name.
+        connections: the connections of each balancer, in the order of the balancers.
     """
 
     def __init__(
@@ -49,11 +61,11 @@
         loop = self.loop = context.loop
         spec = self.spec = context.spec
         self.checker = RuleChecker(traffic.IDEMPOTENCY_WINDOW_MS)
-        self.attempts = AttemptRegistry(spec, context.orders)
-        self.failures: Counter[str] = Counter()  # attempts that did not succeed, by reason
-        self.rejections: Counter[tuple[str, int]] = Counter()  # rejections, by node and second of the run
+        self.attempts = AttemptRegistry(spec, context.requests)
+        self.failures: Counter[str] = Counter()
+        self.rejections: Counter[tuple[str, int]] = Counter()
         self.proxies = LinkProxies(loop, context.workspace.port)
-        self.started_at = 0.0  # of the first request, in Unix ms; 0 before
+        self.started_at = 0.0
         self._on_end = on_end
         self._tick_due = 0.0
         self._housekeeping_at = 0.0
@@ -65,7 +77,7 @@
             self.checker,
             self.attempts,
             NodeConfiguration(spec, peers, self.proxies, context.rng),
-            self._write,
+            self._write_request,
             self._node_killed,
             self._disconnect_balancers,
         )
@@ -73,27 +85,27 @@
         self.hosts = {name: NodeHost(host_context, name, machines[name]) for name in names}
         self.connections = [
             BalancerConnections(
-                loop, lambda node: self.hosts[node].address, self._written, self._unexpected_answer
+                loop, lambda node: self.hosts[node].address, self._request_written, self._unexpected_response
             )
             for _ in spec.balancers
         ]
 
     def tick(self, now: float) -> None:
-        """Let machines and proxies go on up to ``now``."""
+        """Advance machines and proxies to ``now``."""
         self._exclude_own_delay(now)
         self._tick_due = now + TICK_MS
         self.proxies.tick(now)
         for host in self.hosts.values():
             if host.paused_at:
-                host.excuse_pause(now)
+                host.exclude_pause(now)
             elif host.machine and now >= host.next_event_at and not host.machine.is_idle():
                 host.handle_machine_events(host.machine.advance(now))
                 if host.machine:
-                    next_at = host.machine.next_event_at() or math.inf
-                    host.next_event_at = min(next_at, now + MAX_MACHINE_STEP_MS)
+                    next_event_at = host.machine.next_event_at() or math.inf
+                    host.next_event_at = min(next_event_at, now + MAX_MACHINE_STEP_MS)
 
     def housekeep(self, now: float) -> None:
-        """Look for idle connections and overdue requests, after all else of a tick."""
+        """Check for idle connections and overdue requests, as the last part of a tick."""
         if now - self._housekeeping_at >= HOUSEKEEPING_INTERVAL_MS:
             self._housekeeping_at = now
             for connections in self.connections:
@@ -101,7 +113,7 @@
             self.checker.tick(now)
 
     def _exclude_own_delay(self, now: float) -> None:
-        """Exclude what this process's own lateness added from the time limits of nodes."""
+        """Exclude the lateness of this process from the time limits of the nodes."""
         delay_ms = now - self._tick_due
         if self._tick_due and delay_ms > MAX_TICK_DELAY_MS:
             self.checker.extend_due_times(delay_ms)
@@ -114,89 +126,93 @@
         return all(host.interpreter.connected for host in self.hosts.values())
 
     def submit(self, attempt: Attempt) -> None:
-        """Put an attempt to its node's machine."""
+        """Deliver an attempt to its node's machine."""
         host = self.hosts[attempt.node]
         self.attempts.add(attempt)
         if host.machine is None:
-            self.loop.call_later(0.0, partial(self._answered, attempt.call, Response("unreached")))
+            self.loop.call_later(0.0, partial(self._handle_response, attempt.call_id, Response("unreached")))
         elif host.paused_at:
-            host.machine.enqueue_while_paused(attempt.call, READ_WORK)
+            host.machine.enqueue_while_paused(attempt.call_id, READ_WORK_MS)
         else:
-            host.handle_machine_events(host.machine.receive_request(self.loop.now(), attempt.call, READ_WORK))
+            host.handle_machine_events(
+                host.machine.receive_request(self.loop.now(), attempt.call_id, READ_WORK_MS)
+            )
 
-    def _write(self, call: str) -> None:
-        """Write an attempt to the node: its machine has read it."""
-        pending = self.attempts.open.get(call)
+    def _write_request(self, call_id: str) -> None:
+        """Write an attempt to its node, once the node's machine has read it."""
+        pending = self.attempts.open.get(call_id)
         if pending is None:
             return
-        order, attempt = pending.order, pending.attempt
+        request, attempt = pending.request, pending.attempt
         remaining_ms = attempt.deadline - attempt.sent_at
         fields = request_fields(
-            order, call, attempt.balancer, attempt.sent_at, remaining_ms, attempt.is_marked_retry
+            request, call_id, attempt.balancer, attempt.sent_at, remaining_ms, attempt.is_marked_retry
         )
         pending.written = True
-        on_answer = partial(self._answered, call)
+        on_response = partial(self._handle_response, call_id)
         connections = self.connections[attempt.balancer]
-        connections.send_request(attempt.node, call, order.cls.name, fields, order.body, on_answer)
+        connections.send_request(attempt.node, call_id, request.cls.name, fields, request.body, on_response)
 
-    def _written(self, call: str) -> None:
-        pending = self.attempts.open.get(call)
+    def _request_written(self, call_id: str) -> None:
+        pending = self.attempts.open.get(call_id)
         if pending is None:
             return
-        order, attempt = pending.order, pending.attempt
-        if machine := self.hosts[attempt.node].machine:  # else its process was just killed
+        request, attempt = pending.request, pending.attempt
+        if machine := self.hosts[attempt.node].machine:  # None if the process was killed since
             self.checker.request_written(
-                call,
+                call_id,
                 attempt.node,
-                order.cls.name,
-                order.idempotency_key,
-                order.body,
+                request.cls.name,
+                request.idempotency_key,
+                request.body,
                 attempt.sent_at,
                 attempt.deadline,
                 self.loop.now(),
             )
-            machine.request_memory_kb[call] = order.memory_kb
+            machine.request_memory_kb[call_id] = request.memory_kb
 
-    def _unexpected_answer(self, node: str, msgid: int) -> None:
-        self.checker.record_violation("duplicate", node, f"an answer to message {msgid}, which is not open")
+    def _unexpected_response(self, node: str, message_id: int) -> None:
+        self.checker.record_violation(
+            "duplicate", node, f"an answer to message {message_id}, which is not open"
+        )
 
-    def _answered(self, call: str, answer: Response) -> None:
-        pending = self.attempts.open.pop(call, None)
+    def _handle_response(self, call_id: str, response: Response) -> None:
+        pending = self.attempts.open.pop(call_id, None)
         if pending is None:
             return
         now, attempt = self.loop.now(), pending.attempt
         host = self.hosts[attempt.node]
         if host.machine:
-            host.machine.request_memory_kb.pop(call, None)
-        host.end_request(call)
-        if answer.kind == "broken":
-            self.checker.connection_closed(call)
-        elif answer.kind != "unreached":
+            host.machine.request_memory_kb.pop(call_id, None)
+        host.end_request(call_id)
+        if response.kind == "broken":
+            self.checker.connection_closed(call_id)
+        elif response.kind != "unreached":
             self._exclude_own_delay(now)
-            self.checker.response_received(now, call, answer.kind, answer.body)
+            self.checker.response_received(now, call_id, response.kind, response.body)
             host.incarnations[-1].last_answer_at = now
             host.incarnations[-1].answer_count += 1
         partial_result = False
-        if answer.kind == "served":
+        if response.kind == "served":
             latency_ms = max(1, min(MAX_LATENCY_MS, round(now - attempt.sent_at)))
             host.incarnations[-1].latency.record_value(latency_ms)
-            run = answer.body.removeprefix(RESULT_PREFIX).decode("ascii", "replace")
-            partial_result = run in self.attempts.partial_runs
+            run_call_id = response.body.removeprefix(RESULT_PREFIX).decode("ascii", "replace")
+            partial_result = run_call_id in self.attempts.partial_runs
         else:
-            self._count_failure(now, host, answer)
-        self._on_end(attempt, answer, partial_result)
+            self._count_failure(now, host, response)
+        self._on_end(attempt, response, partial_result)
 
-    def _count_failure(self, now: float, host: NodeHost, answer: Response) -> None:
-        if answer.kind == "refused":
+    def _count_failure(self, now: float, host: NodeHost, response: Response) -> None:
+        if response.kind == "refused":
             host.incarnations[-1].rejections_at.append(now)
-        self.failures[failure_reason(answer)] += 1
-        if answer.kind == "refused" and self.started_at:
+        self.failures[failure_reason(response)] += 1
+        if response.kind == "refused" and self.started_at:
             self.rejections[host.name, int((now - self.started_at) / 1000.0)] += 1
 
     def _node_killed(self, node: str) -> None:
-        """Fail the attempts that the killed node's machine had not read: they were never written."""
-        for call in self.attempts.unwritten_of(node):
-            self._answered(call, Response("unreached"))
+        """Fail the attempts that the killed node's machine had not read, as they were never written."""
+        for call_id in self.attempts.unwritten_call_ids(node):
+            self._handle_response(call_id, Response("unreached"))
 
     def _disconnect_balancers(self, node: str) -> None:
         for connections in self.connections:
@@ -204,7 +220,7 @@
             connections.break_connections(node)
 
     def close(self) -> None:
-        """End every process and close every socket of the pool."""
+        """Kill every node process and close every socket of the pool."""
         for host in self.hosts.values():
             host.close()
         for connections in self.connections:
--- a/spindlerelay/testbed/cluster/observations.py
+++ b/spindlerelay/testbed/cluster/observations.py
@@ -1,7 +1,8 @@
-"""Tables of a fleet by node and second, and the figures that are read from them.
+"""Tables of a fleet by node and second, and statistics of load balance and synchronization.
 
-Pure. Load is the attempts at hand at a node (unread, queued and on its cores) over what its cores can do, the
-mean of a second. It has no upper bound, so that overload shows.
+The functions do no I/O. The load of a node in a second is the mean number of its outstanding attempts
+(unread, queued or on its cores) divided by the capacity of its cores. It has no upper bound, so that overload
+is visible.
 """
 
 from __future__ import annotations
@@ -13,19 +14,25 @@
 from scipy.stats import chi2, poisson
 
 SECOND_MS = 1000.0
-SAMPLE_MS = 100.0  # between samples of the nodes
-MIN_SAMPLES = SECOND_MS / SAMPLE_MS / 2.0  # of a second in which a node counts as up
-HOT_FACTOR = 1.5  # of the fleet's mean load
-IDLE_FACTOR = 1.0 / 3.0
+SAMPLE_MS = 100.0  # interval between samples of the nodes
+MIN_SAMPLES = SECOND_MS / SAMPLE_MS / 2.0  # a node counts as up in a second with this many samples
+HOT_FACTOR = 1.5  # a node is hot above this multiple of the fleet's mean load
+IDLE_FACTOR = 1.0 / 3.0  # a node is idle below this fraction of the fleet's mean load
 HERD_WINDOW_MS = 50.0
-RANDOM_ASSIGNMENTS = 5  # that a herd is compared with
+RANDOM_ASSIGNMENTS = 5  # random assignments whose mean herd size is the reference
 
 Table = NDArray[np.float64]
 Counts = NDArray[np.int64]
 
 
 class FleetObservation(NamedTuple):
-    """Tables by node and second. ``load`` and ``busy`` are not a number where the node was not up."""
+    """Tables with one row per node and one column per second.
+
+    Attributes:
+        load: mean load; NaN where the node was not up.
+        busy: mean busy fraction of the cores; NaN where the node was not up.
+        rejections: number of rejections.
+    """
 
     load: Table
     busy: Table
@@ -33,14 +40,20 @@
 
 
 class LoadSums:
-    """Samples of one pool's nodes, added up by second."""
+    """Sums of the samples of one pool's nodes.
+
+    Attributes:
+        names: names of the nodes.
+        rows: by second, one list per node with the number of samples, the sum of load and the sum of busy
+            fractions.
+    """
 
     def __init__(self, names: list[str]) -> None:
         self.names = names
-        self.rows: dict[int, list[list[float]]] = {}  # second: for each node samples, load, busy
+        self.rows: dict[int, list[list[float]]] = {}
 
     def add(self, at: float, values: list[tuple[float, float] | None]) -> None:
-        """Add load and busy fraction of each node, None where it is down.
+        """Add a sample of load and busy fraction for each node; None for a node that is down.
 
         ``at`` is in ms since the first request.
         """
@@ -53,17 +66,18 @@
 
 
 def merge_samples(
-    nodes: list[str],
+    node_names: list[str],
     seconds: int,
     sums: list[tuple[list[str], dict[int, list[list[float]]]]],
-    refused: dict[tuple[str, int], int],
+    rejection_counts: dict[tuple[str, int], int],
 ) -> FleetObservation:
-    """Return one table of what all pools sampled in the first ``seconds`` whole seconds.
+    """Merge the samples of all pools in the first ``seconds`` whole seconds.
 
-    ``sums`` are names and rows of each ``Sums``; ``refused`` are rejections by node and second.
+    ``sums`` has the names and rows of each ``LoadSums``; ``rejection_counts`` has the number of rejections by
+    node and second.
     """
-    shape = (len(nodes), seconds)
-    row_of = {name: row for row, name in enumerate(nodes)}
+    shape = (len(node_names), seconds)
+    row_of = {name: row for row, name in enumerate(node_names)}
     load, busy = np.full(shape, np.nan), np.full(shape, np.nan)
     rejections = np.zeros(shape)
     samples = (
@@ -76,19 +90,19 @@
         if second < seconds and count >= MIN_SAMPLES:
             load[row_of[name], second] = load_sum / count
             busy[row_of[name], second] = busy_sum / count
-    for (name, second), count in refused.items():
+    for (name, second), count in rejection_counts.items():
         if second < seconds:
             rejections[row_of[name], second] = count
     return FleetObservation(load, busy, rejections)
 
 
 def hot_fraction(observation: FleetObservation) -> float:
-    """Return the fraction of node-seconds over ``HOT_FACTOR`` times the fleet's mean load of the second."""
+    """Return the fraction of node-seconds above ``HOT_FACTOR`` times the fleet's mean load of the second."""
     return _fraction(observation.load > HOT_FACTOR * _mean_load(observation), observation)
 
 
 def idle_fraction(observation: FleetObservation) -> float:
-    """Return the fraction of node-seconds under ``IDLE_FACTOR`` of the mean load while any node rejects."""
+    """Return the fraction of node-seconds below ``IDLE_FACTOR`` of the mean load while any node rejects."""
     rejecting = observation.rejections.sum(axis=0) > 0
     return _fraction((observation.load < IDLE_FACTOR * _mean_load(observation)) & rejecting, observation)
 
@@ -104,43 +118,49 @@
     return float((selected & up).sum() / max(1, up.sum()))
 
 
-def herd_size(at: Table, by: NDArray[np.int64], to: NDArray[np.int64]) -> int:
-    """Return the largest number of balancers that turn to one node within one ``HERD_WINDOW_MS``.
+def herd_size(times_ms: Table, balancers: NDArray[np.int64], nodes: NDArray[np.int64]) -> int:
+    """Return the largest number of balancers that send to the same node within one ``HERD_WINDOW_MS``.
 
-    The arrays are time in ms, balancer and node of each attempt.
+    The arrays have the time in ms, the balancer and the node of each attempt.
     """
-    if not len(at):
+    if not len(times_ms):
         return 0
-    windows = (at // HERD_WINDOW_MS).astype(np.int64)
-    distinct = np.unique(np.stack([windows, to, by]), axis=1)
+    windows = (times_ms // HERD_WINDOW_MS).astype(np.int64)
+    distinct = np.unique(np.stack([windows, nodes, balancers]), axis=1)
     _, counts = np.unique(distinct[:2], axis=1, return_counts=True)
     return int(counts.max())
 
 
-def herding_ratio(at: Table, by: NDArray[np.int64], to: NDArray[np.int64], nodes: int, seed: int) -> float:
-    """Return the herd size over that of the same attempts at random nodes, the mean of several draws."""
+def herding_ratio(
+    times_ms: Table, balancers: NDArray[np.int64], nodes: NDArray[np.int64], node_count: int, seed: int
+) -> float:
+    """Return the herd size divided by the mean herd size of the same attempts at randomly drawn nodes."""
     rng = np.random.default_rng(seed)
-    random_sizes = [herd_size(at, by, rng.integers(0, nodes, len(to))) for _ in range(RANDOM_ASSIGNMENTS)]
-    return herd_size(at, by, to) / max(1.0, float(np.mean(random_sizes)))
+    random_sizes = [
+        herd_size(times_ms, balancers, rng.integers(0, node_count, len(nodes)))
+        for _ in range(RANDOM_ASSIGNMENTS)
+    ]
+    return herd_size(times_ms, balancers, nodes) / max(1.0, float(np.mean(random_sizes)))
 
 
-def event_counts(at: list[float], span_ms: float, start: float, end: float) -> Counts:
-    """Return the number of events in each span between two times."""
-    times = np.array([each for each in at if start <= each < end])
-    counts: Counts = np.histogram(times, np.arange(start, end + span_ms / 2.0, span_ms))[0]
+def event_counts(times_ms: list[float], span_ms: float, start: float, end: float) -> Counts:
+    """Return the number of events in each interval of ``span_ms`` between two times."""
+    selected_times_ms = np.array([time_ms for time_ms in times_ms if start <= time_ms < end])
+    counts: Counts = np.histogram(selected_times_ms, np.arange(start, end + span_ms / 2.0, span_ms))[0]
     return counts
 
 
 def peak_ratio(counts: Counts) -> float:
-    """Return the largest count over the mean; 0 without events."""
+    """Return the largest count divided by the mean count; 0 without events."""
     return float(counts.max() / counts.mean()) if counts.any() else 0.0
 
 
 def peak_bound(mean: float, spans: int, probability: float) -> float:
-    """Return the ratio of peak to mean that independent senders stay under with a probability.
+    """Return the peak-to-mean ratio that independent senders do not exceed with the given probability.
 
-    Their events in a span are a Poisson number; the busiest of ``spans`` spans holds at most ``k`` with the
-    probability of one span to the power of ``spans``. 0 without events.
+    The number of their events in an interval has a Poisson distribution. The probability that the busiest of
+    ``spans`` intervals has at most k events is the probability for one interval to the power of ``spans``.
+    Returns 0 without events.
     """
     if not mean:
         return 0.0
@@ -148,19 +168,19 @@
 
 
 def dispersion(counts: Counts) -> float:
-    """Return the variance of the counts over their mean: about 1 for independent senders, 0 without any."""
+    """Return the variance-to-mean ratio of the counts: about 1 for independent senders, 0 without events."""
     return float(counts.var() / counts.mean()) if counts.any() else 0.0
 
 
 def dispersion_bound(independent_spans: int, probability: float) -> float:
-    """Return the dispersion that independent senders stay under with a probability.
+    """Return the dispersion that independent senders do not exceed with the given probability.
 
-    Where each sender repeats itself after a period, only the spans of one period are independent.
+    If each sender is periodic, only the intervals of one period are independent.
     """
-    freedom = independent_spans - 1
-    return float(chi2.ppf(probability, freedom) / freedom)
+    degrees_of_freedom = independent_spans - 1
+    return float(chi2.ppf(probability, degrees_of_freedom) / degrees_of_freedom)
 
 
-def peak_to_mean(at: list[float], span_ms: float, start: float, end: float) -> float:
-    """Return the most events in one span over the mean of all spans between two times; 0 without events."""
-    return peak_ratio(event_counts(at, span_ms, start, end))
+def peak_to_mean(times_ms: list[float], span_ms: float, start: float, end: float) -> float:
+    """Return the peak-to-mean ratio of the events per interval between two times; 0 without events."""
+    return peak_ratio(event_counts(times_ms, span_ms, start, end))
--- a/spindlerelay/testbed/cluster/run_context.py
+++ b/spindlerelay/testbed/cluster/run_context.py
@@ -1,4 +1,4 @@
-"""What the nodes and balancers of one process share."""
+"""Objects that the nodes and balancers of one process share."""
 
 from __future__ import annotations
 
@@ -12,10 +12,18 @@
 
 
 class RunContext(NamedTuple):
-    """One process's part of a run. ``orders`` is the whole stream, ``rng`` the process's one generator."""
+    """The shared objects of one process of a run.
+
+    Attributes:
+        loop: the event loop.
+        workspace: starts node processes and allocates ports.
+        spec: the specification of the run.
+        requests: the request stream of the whole run.
+        rng: the only random generator of the process.
+    """
 
     loop: EventLoop
     workspace: Workspace
     spec: ClusterSpec
-    orders: list[traffic.Request]
+    requests: list[traffic.Request]
     rng: random.Random
--- a/spindlerelay/testbed/cluster/shard_loads.py
+++ b/spindlerelay/testbed/cluster/shard_loads.py
@@ -1,7 +1,6 @@
-"""What a shard knows of the load of nodes.
+"""Load samples of a shard's nodes for the record, and load estimates for balancers that use true loads.
 
-It takes samples for the record, and estimates loads for balancers that may know them. No I/O:
-whoever owns it sends what ``own_loads`` returns to the other shards.
+This module does no I/O: the shard sends the result of ``KnownLoads.own_loads`` to the other shards.
 """
 
 from __future__ import annotations
@@ -10,56 +9,56 @@
 from spindlerelay.testbed.cluster.node_host import NodeHost
 from spindlerelay.testbed.cluster.spec import ClusterSpec
 
-UNREACHABLE_LOAD = 1e9
+UNREACHABLE_LOAD = 1e9  # load of a node that is down or paused
 
 
-def _power_of(spec: ClusterSpec, node: str) -> float:
+def _capacity_of(spec: ClusterSpec, node: str) -> float:
     machine = spec.nodes[int(node[1:]) - 1]
     return machine.cores * machine.speed
 
 
 class KnownLoads:
-    """The expected load of every node: attempts at hand over what its cores can do."""
+    """Estimated load of every node: its outstanding attempts and one more, divided by its capacity."""
 
     def __init__(self, spec: ClusterSpec) -> None:
         self.by_node: dict[str, float] = {}
         self._spec = spec
 
     def add_attempt(self, node: str) -> None:
-        """Count an attempt that was just sent to a node, until its load is known again."""
-        self.by_node[node] = self.by_node.get(node, 0.0) + 1.0 / _power_of(self._spec, node)
+        """Add an attempt that was just sent to a node to its estimated load, until the next update."""
+        self.by_node[node] = self.by_node.get(node, 0.0) + 1.0 / _capacity_of(self._spec, node)
 
     def update(self, names: list[str], loads: list[float]) -> None:
-        """Take the present loads of some nodes."""
+        """Replace the estimated loads of some nodes by their current loads."""
         self.by_node.update(zip(names, loads, strict=True))
 
     def own_loads(self, now: float, hosts: list[NodeHost]) -> list[float]:
-        """Return the load of each host with one attempt more."""
+        """Return the load that each host would have with one more attempt."""
         return [self._load_of(now, host) for host in hosts]
 
     def _load_of(self, now: float, host: NodeHost) -> float:
         machine = host.machine
         if machine is None or host.paused_at:
             return UNREACHABLE_LOAD
-        power = _power_of(self._spec, host.name) * machine.speed_fraction(now) / machine.slowdown
-        return (machine.outstanding() + 1.0) / power
+        capacity = _capacity_of(self._spec, host.name) * machine.speed_fraction(now) / machine.slowdown
+        return (machine.outstanding() + 1.0) / capacity
 
 
 class LoadSampler:
-    """Samples load and busy fraction of a shard's nodes, added up by second."""
+    """Samples load and busy fraction of a shard's nodes and sums the samples by second."""
 
     def __init__(self, names: list[str]) -> None:
         self.sums = observations.LoadSums(names)
         self._sampled_at = 0.0
 
-    def sample_if_due(self, now: float, at: float, hosts: list[NodeHost]) -> None:
-        """Take a sample at ``at`` ms since the first request, if one is due."""
+    def sample_if_due(self, now: float, elapsed_ms: float, hosts: list[NodeHost]) -> None:
+        """Take a sample if one is due; ``elapsed_ms`` is the time since the first request."""
         if now - self._sampled_at >= observations.SAMPLE_MS:
             self._sampled_at = now
-            self.sums.add(at, [self._values(host) for host in hosts])
+            self.sums.add(elapsed_ms, [self._sample(host) for host in hosts])
 
     @staticmethod
-    def _values(host: NodeHost) -> tuple[float, float] | None:
+    def _sample(host: NodeHost) -> tuple[float, float] | None:
         machine = host.machine
         if machine is None:
             return None
--- a/spindlerelay/testbed/cluster/shard_processes.py
+++ b/spindlerelay/testbed/cluster/shard_processes.py
@@ -1,6 +1,6 @@
-"""The shards of a cluster as its coordinator sees them: processes, links, and signs of life.
+"""The shard processes of a cluster and the coordinator's links to them.
 
-It starts and ends the processes and decides when a shard counts as lost. It does not know what a run plays.
+This module starts and stops the processes and detects lost shards. It does not depend on what a run does.
 """
 
 from __future__ import annotations
@@ -23,14 +23,24 @@
 
 SHARD_MODULE = "spindlerelay.testbed.cluster.shard"
 HEARTBEAT_TIMEOUT_MS = 3000.0
-START_HEARTBEAT_TIMEOUT_MS = 20_000.0  # while hundreds of processes start at once on a few cores
+START_HEARTBEAT_TIMEOUT_MS = 20_000.0  # hundreds of processes start at the same time on a few cores
 EXIT_TIMEOUT_S = 5.0
 LOG_TAIL_CHARACTERS = 300
-MAX_LOGS = 3
+MAX_LOG_TAILS = 3
 
 
 class ShardProcess:
-    """One shard: its process, and what it has reported."""
+    """The process of one shard and the state that the shard has reported.
+
+    Attributes:
+        process: the process.
+        link: link to the shard; None before the shard has connected.
+        address: address on which the shard accepts links of other shards.
+        up: whether all nodes of the shard are connected to their interpreters.
+        finished: whether all requests of the shard's balancers have ended.
+        result: the result of the shard; None before.
+        last_message_at: time of the last message in Unix ms; 0 before.
+    """
 
     def __init__(self, process: subprocess.Popen[bytes]) -> None:
         self.process = process
@@ -43,7 +53,7 @@
 
 
 class LostShard(NamedTuple):
-    """A shard that can no longer complete the run, and why."""
+    """A shard that can no longer complete the run, and the reason."""
 
     number: int
     reason: str
@@ -52,8 +62,9 @@
 class ShardProcesses:
     """The shards of one run, which read their specification from ``directory``.
 
-    ``on_linked`` is called once all shards have connected, with their addresses for each other.
-    ``on_heartbeat`` gets a shard's number and the longest delay in ms of its ticks and of its requests.
+    ``on_linked`` is called once, when all shards have connected, with the addresses on which the shards
+    accept links. ``on_heartbeat`` is called with a shard's number, the longest delay of its ticks since the
+    last heartbeat and the longest delay of its requests, both in ms.
     """
 
     def __init__(
@@ -77,10 +88,10 @@
         return start_process(command, self._directory / f"shard{number}.log", REPOSITORY_ROOT)
 
     def _accept(self, sock: Socket) -> None:
-        link = MessageLink(self._loop, lambda message: self._greeted(link, message), lambda: None)
+        link = MessageLink(self._loop, lambda message: self._handle_hello(link, message), lambda: None)
         link.accept(sock)
 
-    def _greeted(self, link: MessageLink, message: list[Any]) -> None:
+    def _handle_hello(self, link: MessageLink, message: list[Any]) -> None:
         if message[0] != Message.HELLO or not 0 <= int(message[1]) < len(self.shards):
             link.close()
             return
@@ -89,11 +100,11 @@
         shard.link = link
         shard.address = address
         shard.last_message_at = self._loop.now()
-        link.on_message = partial(self._received, number, shard)
-        if all(each.link for each in self.shards):
-            self._on_linked([each.address for each in self.shards])
+        link.on_message = partial(self._handle_message, number, shard)
+        if all(other.link for other in self.shards):
+            self._on_linked([other.address for other in self.shards])
 
-    def _received(self, number: int, shard: ShardProcess, message: list[Any]) -> None:
+    def _handle_message(self, number: int, shard: ShardProcess, message: list[Any]) -> None:
         shard.last_message_at = self._loop.now()
         match message:
             case [Message.HEARTBEAT, tick_delay_ms, send_delay_ms]:
@@ -112,7 +123,7 @@
                 shard.link.send(message, *fields)
 
     def find_lost(self, now: float, heartbeat_timeout_ms: float) -> Iterator[LostShard]:
-        """Yield the shards that have died or are silent without a result; silent ones are killed."""
+        """Yield shards without a result that have died or are past the timeout, and kill the latter."""
         for number, shard in enumerate(self.shards):
             if shard.result is not None:
                 continue
@@ -120,21 +131,21 @@
             if shard.process.poll() is not None:
                 yield LostShard(number, f"died with status {shard.process.returncode}")
             elif shard.last_message_at and silence_ms > heartbeat_timeout_ms:
-                yield LostShard(number, f"said nothing for {silence_ms:.0f} ms")
-                shard.process.kill()  # it would not hear that the run is over
+                yield LostShard(number, f"sent no message for {silence_ms:.0f} ms")
+                shard.process.kill()  # a stopped process would not notice the end of its link
 
     def log_tails(self, numbers: list[int]) -> str:
-        """Return the ends of the first logs of these shards and their nodes that say anything."""
+        """Return the last characters of the first non-empty logs of these shards and their nodes."""
         tails = []
         for number in numbers:
             shard = self._directory / f"shard{number}"
             for log in (shard.with_suffix(".log"), *shard.glob("*.log")):
                 if text := log.read_text(errors="replace")[-LOG_TAIL_CHARACTERS:].strip():
                     tails.append(f"{log.stem}: {text}")
-        return "; ".join(tails[:MAX_LOGS])
+        return "; ".join(tails[:MAX_LOG_TAILS])
 
     def close(self) -> None:
-        """End every shard, and with it its nodes; a shard that does not end in time is killed."""
+        """Stop every shard and its nodes; a shard that does not exit in time is killed."""
         for shard in self.shards:
             if shard.link:
                 shard.link.close()
--- a/spindlerelay/testbed/cluster/shard_protocol.py
+++ b/spindlerelay/testbed/cluster/shard_protocol.py
@@ -12,32 +12,32 @@
 from spindlerelay.transport.event_loop import EventLoop
 from spindlerelay.transport.system import Socket
 
-MAX_MESSAGE_BYTES = 1 << 28  # the rows of a whole run come in one message
+MAX_MESSAGE_BYTES = 1 << 28  # a single message carries the rows of a whole run
 
 
 class Message(enum.StrEnum):
-    """The first word of a message; its fields follow."""
+    """The kind of a message, which is its first element; the fields follow."""
 
-    # shard to coordinator
-    HELLO = "hello"  # number, own address
-    HEARTBEAT = "beat"  # longest delay of a tick in ms since the last one, of a request so far
+    # Messages from a shard to the coordinator
+    HELLO = "hello"  # number of the shard, address for links of other shards
+    HEARTBEAT = "beat"  # longest delay in ms of a tick since the last heartbeat, and of a request so far
     NODES_UP = "up"
     STREAM_FINISHED = "done"
     RESULT = "result"  # a ShardResult
-    # coordinator to shard
-    ADDRESSES = "around"  # of all shards, the store, the announce service, and the agent or None
-    ENDPOINTS = "listed"  # list of name, status, weight
-    CONNECT_INTERPRETERS = "come up"  # at Unix ms
-    BEGIN = "begin"  # at Unix ms
+    # Messages from the coordinator to a shard
+    ADDRESSES = "around"  # all shards, the store, the announce service, the agent or None
+    ENDPOINTS = "listed"  # list of endpoints as name, status and weight
+    CONNECT_INTERPRETERS = "come up"  # time in Unix ms
+    BEGIN = "begin"  # time of the first request in Unix ms
     FINISH = "end"
-    # shard to shard
-    ATTEMPT = "try"  # the fields of the attempt
-    ANSWER = "answer"  # call, partial, the fields of the answer
-    LOADS = "states"  # names, loads
+    # Messages between shards
+    ATTEMPT = "try"  # the fields of an Attempt
+    RESPONSE = "answer"  # call identifier, whether the result is partial, the fields of a Response
+    LOADS = "states"  # names of the nodes, their loads
 
 
 class MessageLink:
-    """One stream. ``on_message`` gets each message, ``on_closed`` is called once at its end."""
+    """A connection for messages; ``on_message`` is called for each message, ``on_closed`` when it closes."""
 
     def __init__(
         self, loop: EventLoop, on_message: Callable[[list[Any]], None], on_closed: Callable[[], None]
@@ -49,14 +49,14 @@
         self._connection: Connection
 
     def accept(self, sock: Socket) -> MessageLink:
-        """Use a connection that was accepted, and return the link itself."""
-        self._connection = Connection(self._loop, sock, self._received, lambda _: self._on_closed())
+        """Attach the link to an accepted socket and return the link."""
+        self._connection = Connection(self._loop, sock, self._data_received, lambda _: self._on_closed())
         return self
 
     def dial(self, address: tuple[str, int]) -> MessageLink:
-        """Connect to an address, and return the link itself."""
+        """Connect the link to an address and return the link."""
         self._connection = connect(
-            self._loop, address, self._received, lambda _: self._on_closed(), lambda: None
+            self._loop, address, self._data_received, lambda _: self._on_closed(), lambda: None
         )
         return self
 
@@ -64,7 +64,7 @@
         """Write one message."""
         self._connection.write(msgpack.packb((message, *fields)))
 
-    def _received(self, data: bytes) -> None:
+    def _data_received(self, data: bytes) -> None:
         self._unpacker.feed(data)
         for message in self._unpacker:
             self.on_message(message)
--- a/spindlerelay/testbed/cluster/workspace.py
+++ b/spindlerelay/testbed/cluster/workspace.py
@@ -1,6 +1,6 @@
-"""Where a cluster runs: its system, its free ports, and how node processes are started and time passes.
+"""The environment of a cluster: clock and sockets, free ports, and the start of node processes.
 
-``LoopbackWorkspace`` is the machine itself; the simulation has a workspace in virtual time.
+``LoopbackWorkspace`` uses this computer in real time; the simulation has a workspace in virtual time.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from spindlerelay.transport.event_loop import EventLoop
 from spindlerelay.transport.system import HOST_SYSTEM, System
 
-# Ports 11,000 to 31,479, below those that the kernel gives to connections.
+# Ports 11,000 to 31,479, which lie below the kernel's ephemeral range.
 FIRST_PORT = 11_000
 PORTS_PER_PROCESS = 64
 PORT_RANGES = 320
@@ -36,7 +36,7 @@
     """No port of this process's range is free.
 
     Attributes:
-        first_port: the lowest port that any process takes.
+        first_port: lowest port of the ranges of all processes.
     """
 
     def __init__(self, first_port: int) -> None:
@@ -48,10 +48,12 @@
 
 
 def free_port() -> int:
-    """Return a free port, from a range that processes with other identifiers hardly share.
+    """Return a free port.
+
+    The range depends on the process identifier, so that processes rarely share one.
 
     Raises:
-        NoFreePortError: where none is free.
+        NoFreePortError: if no port of the range is free.
     """
     for _ in range(PORTS_PER_PROCESS):
         offset = next(_port_offsets) % PORTS_PER_PROCESS
@@ -64,7 +66,7 @@
 
 
 def _die_with_parent() -> None:
-    """Let the kernel kill the calling process when its parent ends; for a child, before it executes."""
+    """Have the kernel kill the calling process when its parent ends; called in a child before it executes."""
     _libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
@@ -73,8 +75,8 @@
 ) -> subprocess.Popen[bytes]:
     """Start a process that the kernel kills when this one ends.
 
-    It runs in ``directory``, with ``environ`` added to this process's environment, and appends its output to
-    ``log``.
+    The process runs in ``directory``, with ``environ`` added to this process's environment, and appends its
+    output to ``log``.
     """
     with log.open("ab") as output:
         return subprocess.Popen(
@@ -89,43 +91,43 @@
 
 
 class Process(Protocol):
-    """As much of a node's process as a host uses; a ``subprocess.Popen`` is one."""
+    """A node's process, with the part of the interface of ``subprocess.Popen`` that a host uses."""
 
     returncode: int | None
     pid: int
 
     def poll(self) -> int | None:
-        """Return the exit status, None while the process runs."""
+        """Return the exit status; None while the process runs."""
 
     def kill(self) -> None:
         """Send SIGKILL."""
 
     def wait(self) -> int:
-        """Wait for the end and return the exit status."""
+        """Wait for the process to exit and return the exit status."""
 
     def send_signal(self, sig: int) -> None:
         """Send a signal."""
 
 
 class Workspace(Protocol):
-    """Where a cluster runs."""
+    """The environment of a cluster."""
 
     @property
     def system(self) -> System:
-        """Return the clock and the sockets."""
+        """Return the provider of clock and sockets."""
 
     def port(self) -> int:
         """Return a free port."""
 
     def launch(self, name: str, spec: ClusterSpec, config: Path, operator: Path | None, log: Path) -> Process:
-        """Start a node's process with these files; its output goes to ``log``."""
+        """Start a node's process with the given files; its output is appended to ``log``."""
 
     def drive(self, loop: EventLoop) -> None:
         """Run the loop until it stops."""
 
 
 class LoopbackWorkspace:
-    """The machine itself: processes on loopback, in real time."""
+    """An environment of processes on this computer's loopback interface, in real time."""
 
     system: System = HOST_SYSTEM
 
@@ -134,7 +136,7 @@
         return free_port()
 
     def launch(self, name: str, spec: ClusterSpec, config: Path, operator: Path | None, log: Path) -> Process:
-        """Start a node's process with these files; its output goes to ``log``."""
+        """Start a node's process with the given files; its output is appended to ``log``."""
         command = [sys.executable, "-m", *spec.launcher]
         command += ["run", "--operator", str(operator)] if operator else []
         return start_process(command, log, spec.working_tree or REPOSITORY_ROOT, {"LB_CONFIG": str(config)})
--- a/spindlerelay/testbed/drills/consul.py
+++ b/spindlerelay/testbed/drills/consul.py
@@ -225,7 +225,7 @@
     return {
         "nodes": nodes,
         "seeds": 1,
-        "asked": len(cluster.orders),
+        "asked": len(cluster.requests),
         "unhealthy_before_refusal": sum(
             _critical_before(cluster, name, life, rejected_at) for name, life, rejected_at in rejecting
         ),
--- a/spindlerelay/testbed/drills/processes.py
+++ b/spindlerelay/testbed/drills/processes.py
@@ -159,7 +159,7 @@
     """Return the figures and the course of one run."""
     with checked_out([job.before]) if job.before else nullcontext({}) as folders:
         shards = shard_count(job.nodes)
-        record = coordinator.play(cluster_spec(job, folders.get(job.before, "")), shards)
+        record = coordinator.run_cluster(cluster_spec(job, folders.get(job.before, "")), shards)
     synchrony_figures = synchrony_of_record(record) if job.story == MARCH else {}
     return (
         figures_of_record(job._asdict(), shards, record)
--- a/spindlerelay/testbed/drills/spread.py
+++ b/spindlerelay/testbed/drills/spread.py
@@ -167,10 +167,10 @@
     """Return the figures and the course of one run."""
     spec = spec_of(job)
     shards = shard_count(job.nodes)
-    record = coordinator.play(spec, shards)
+    record = coordinator.run_cluster(spec, shards)
     length_ms = spec.phases[0].length_ms
     views = membership_views.detection_quality(
-        record.journal, record.status_changes, record.believed_alive, length_ms
+        record.journal, record.status_changes, record.alive_views, length_ms
     )
     return (
         processes.figures_of_record(job._asdict(), shards, record)
--- a/spindlerelay/testbed/scripted_run.py
+++ b/spindlerelay/testbed/scripted_run.py
@@ -271,7 +271,7 @@
         phases=(traffic.Phase(length, spec.load, spec.load),),
         balancers=habits,
         balancer_weights=weights,
-        orders=orders,
+        requests=orders,
         launcher=launcher_of(spec),
         working_tree=spec.working_tree,
         operator_config=spec.operator_config,
@@ -295,7 +295,7 @@
 
 def _details(spec: Emulation, cluster: Cluster, rows: Rows, samples: dict[str, list[Any]]) -> dict[str, Any]:
     """Return everything but the rows, as plain values."""
-    lateness = outcomes.send_delay_of(rows, len(cluster.orders), SEND_DELAY_BOUND_MS)
+    lateness = outcomes.send_delay_of(rows, len(cluster.requests), SEND_DELAY_BOUND_MS)
     violations = cluster.checker.violations[:MAX_VIOLATIONS]
     return {
         "seed": spec.seed,
@@ -317,5 +317,5 @@
         "sample_ms": SAMPLE_MS,
         "samples": samples,
         "events": [[each.label(), each.at_ms, each.end_ms] for each in spec.events],
-        "digest": Stream(spec.seed).digest(cluster.orders),
+        "digest": Stream(spec.seed).digest(cluster.requests),
     }
--- a/spindlerelay/testbed/simulation/fault_player.py
+++ b/spindlerelay/testbed/simulation/fault_player.py
@@ -190,7 +190,7 @@
     def _repeat(self, at_ms: float, host: NodeHost, size: float) -> None:
         """Send the newest keyed requests again, at this very node, whatever became of them."""
         newest = [
-            order for order in self.cluster.orders if order.idempotency_key and order.arrival_ms < at_ms
+            order for order in self.cluster.requests if order.idempotency_key and order.arrival_ms < at_ms
         ][-int(size) :]
         for order in newest:
             self.cluster.resend(order, host.name)
--- a/spindlerelay/testbed/simulation/scenario_player.py
+++ b/spindlerelay/testbed/simulation/scenario_player.py
@@ -110,7 +110,7 @@
         digest=network.log.digest(),
         virtual_s=(network.now_ms - START_MS) / 1000.0,
         cpu_s=time.process_time() - started_s,
-        requests=len(cluster.orders),
+        requests=len(cluster.requests),
         weighted_success_ratio=worth,
         reached=frozenset(player.reached | {f"line {kind}" for _, kind in workspace.logged_warnings}),
         recent_events=tuple(trace),
--- a/tests/test_consul_rejections.py
+++ b/tests/test_consul_rejections.py
@@ -31,7 +31,7 @@
         seed=3,
         nodes=fleet(1, 0.0),
         balancers=(BalancerProfile(),),
-        orders=tuple(requests_at(3, arrivals_ms)),
+        requests=tuple(requests_at(3, arrivals_ms)),
         uses_catalogue=True,
         endpoint_source="catalogue",
     )
--- a/tests/test_fault_script.py
+++ b/tests/test_fault_script.py
@@ -59,7 +59,7 @@
 
 def test_burst_multiplies_arrivals_within_its_interval() -> None:
     calm, burst = (
-        cluster_spec(Emulation(seconds=4.0, nodes=2, spacing="paced", events=events)).orders
+        cluster_spec(Emulation(seconds=4.0, nodes=2, spacing="paced", events=events)).requests
         for events in ((), (FaultEvent("burst", 1000.0, 1000.0, factor=3.0),))
     )
     inside = [sum(1000.0 <= order.arrival_ms < 2000.0 for order in orders) for orders in (calm, burst)]
--- a/tests/test_load_distribution.py
+++ b/tests/test_load_distribution.py
@@ -61,7 +61,7 @@
 
 def test_survivors_detect_deaths_and_rejoin_after_a_split(record: RunRecord) -> None:
     views = membership_views.detection_quality(
-        record.journal, record.status_changes, record.believed_alive, 14_000.0
+        record.journal, record.status_changes, record.alive_views, 14_000.0
     )
     assert (
         views.missed == 0
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sig", "words"), [(signal.SIGKILL, "died with status -9"), (signal.SIGSTOP, "said nothing for")]
+    ("sig", "words"), [(signal.SIGKILL, "died with status -9"), (signal.SIGSTOP, "sent no message for")]
 )
 def test_run_is_void_when_shard_dies_or_falls_silent(sig: int, words: str) -> None:
     coordinator = Coordinator(spec_of(4, 6.0), 2, 800.0)
--- a/tests/test_testbed_models.py
+++ b/tests/test_testbed_models.py
@@ -320,8 +320,8 @@
     )
     stage.run()
     ends = sum(sum(row.counts.values()) for row in stage.tally.rows_by_class.values())
-    assert ends == len(stage.orders) > 20 and not stage.checker.violations
-    assert len(stage.checker._answered_calls) > len(stage.orders)
+    assert ends == len(stage.requests) > 20 and not stage.checker.violations
+    assert len(stage.checker._answered_calls) > len(stage.requests)
 
 
 def test_request_that_crossed_a_goaway_during_a_late_turn_is_resent() -> None:
