--- a/spindlerelay/testbed/cluster/coordinator.py
+++ b/spindlerelay/testbed/cluster/coordinator.py
@@ -48,7 +48,7 @@
 class Coordinator:
     """One run of a specification on a number of shards.
 
-    A shard that sends no message for ``heartbeat_timeout_ms`` after the stream has started is lost.
+    Once ``started_at`` is set, a shard that sends no message for ``heartbeat_timeout_ms`` is lost.
 
     Attributes:
         started_at: time of the first request in Unix ms; 0 before the time has been announced.
--- a/spindlerelay/testbed/cluster/shard_processes.py
+++ b/spindlerelay/testbed/cluster/shard_processes.py
@@ -123,7 +123,10 @@
                 shard.link.send(message, *fields)
 
     def find_lost(self, now: float, heartbeat_timeout_ms: float) -> Iterator[LostShard]:
-        """Yield shards without a result that have died or are past the timeout, and kill the latter."""
+        """Yield the shards without a result that have exited or whose last message is older than the timeout.
+
+        A shard that has not exited is killed.
+        """
         for number, shard in enumerate(self.shards):
             if shard.result is not None:
                 continue
@@ -132,7 +135,7 @@
                 yield LostShard(number, f"died with status {shard.process.returncode}")
             elif shard.last_message_at and silence_ms > heartbeat_timeout_ms:
                 yield LostShard(number, f"sent no message for {silence_ms:.0f} ms")
-                shard.process.kill()  # a stopped process would not notice the end of its link
+                shard.process.kill()  # a stopped process would not notice that its link closes
 
     def log_tails(self, numbers: list[int]) -> str:
         """Return the last characters of the first non-empty logs of these shards and their nodes."""
--- a/spindlerelay/testbed/cluster/workspace.py
+++ b/spindlerelay/testbed/cluster/workspace.py
@@ -50,7 +50,7 @@
 def free_port() -> int:
     """Return a free port.
 
-    The range depends on the process identifier, so that processes rarely share one.
+    The range depends on the process identifier, so that two processes rarely share a range.
 
     Raises:
         NoFreePortError: if no port of the range is free.
