--- a/spindlerelay/testbed/models/__init__.py
+++ b/spindlerelay/testbed/models/__init__.py
@@ -1,5 +1,6 @@
 """Emulated machines, stores, balancers and traffic, without I/O and without a clock.
 
-Each model is stepped with a time in ms and with events, so that the same code runs on sockets and in virtual
-time. Nothing here may import sockets, the clock or the packages that drive the models.
+The caller advances each model by passing it a time in ms and events, so that the same model runs behind real
+sockets and in virtual time. The package must not import sockets, the clock or the packages that drive the
+models.
 """
