--- a/spindlerelay/testbed/model_checking/__init__.py
+++ b/spindlerelay/testbed/model_checking/__init__.py
@@ -1,4 +1,4 @@
-"""Checkers that search every order of events of a pure core.
+"""Model checkers, which explore every order of events of code without I/O.
 
-Must not depend on the network, on processes or on the machine's clock.
+The package must not depend on the network, on processes or on the machine's clock.
 """
--- a/spindlerelay/testbed/model_checking/lease_scenarios.py
+++ b/spindlerelay/testbed/model_checking/lease_scenarios.py
@@ -1,4 +1,7 @@
-"""What the search of maintenance leases explores: scenarios, and faults planted to test the search. Pure."""
+"""Scenarios for the model checker of maintenance leases, and planted faults that test the checker.
+
+The module has no I/O.
+"""
 
 from __future__ import annotations
 
@@ -19,19 +22,19 @@
 
 
 class LeaseScenario(NamedTuple):
-    """What may happen. ``steps`` has the steps of each proposer in order.
+    """The events that are possible in one search. ``steps`` holds the steps of each proposer in order.
 
-    A step is ``grant``, ``release``, ``admitN`` (the spare voter N, 0 if left out) or ``dismissN`` (the
-    founder N).
+    A step is ``grant``, ``release``, ``admitN`` (add the spare voter N; N is 0 if omitted) or ``dismissN``
+    (remove the founding voter N).
     """
 
     voters: int
     steps: tuple[tuple[str, ...], ...]
-    max_attempts: int = 2  # attempts of a proposer for one step
-    budget: int = 1  # leases at a time
-    spare_voters: int = 0  # voters that may be admitted
-    max_disk_losses: int = 0  # voters that may come back with an empty disk
-    planted_fault: str = ""  # one of PLANTS
+    max_attempts: int = 2  # most attempts of a proposer for one step
+    budget: int = 1  # most leases at a time
+    spare_voters: int = 0  # voters that may be added
+    max_disk_losses: int = 0  # most restarts of voters with an empty disk
+    planted_fault: str = ""  # one of PLANTED_FAULTS, or empty for none
 
 
 SCENARIOS = {
@@ -43,13 +46,14 @@
     "three, then two": LeaseScenario(3, (("dismiss0", "grant"), ("grant",)), max_attempts=2),
     "one, then two": LeaseScenario(1, (("admit", "grant"), ("grant",)), max_attempts=2, spare_voters=1),
 }
+# The smallest scenario in which the search finds the planted fault "voters changed by two".
 TWO_VOTERS_ADMITTED_AT_ONCE = LeaseScenario(
     1, (("admit", "grant"), ("grant",)), max_attempts=1, spare_voters=2
-)  # the smallest that shows the fault
+)
 
 
 class ScenarioVoters:
-    """The voters of a scenario, and the change of the ledger that a step proposes."""
+    """The voters of a scenario, and the ledger changes that its steps propose."""
 
     def __init__(self, scenario: LeaseScenario) -> None:
         self.scenario = scenario
@@ -59,30 +63,32 @@
         self.budget = Budget(scenario.budget, scenario.budget)
 
     def step(self, proposer: int, step_index: int) -> str:
-        """Return a proposer's step, empty once it has done them all."""
+        """Return the proposer's step with this index, or an empty text after its last step."""
         steps = self.scenario.steps[proposer]
         return steps[step_index] if step_index < len(steps) else ""
 
     def change(self, proposer: int, step_index: int, lease_number: int) -> Change | None:
-        """Return the change that a proposer's step makes, None once it has done them all.
+        """Return the ledger change that a proposer's step proposes, or None after its last step.
 
-        ``lease_number`` is the lease that a release gives back.
+        ``lease_number`` is the lease that a ``release`` step returns.
         """
-        plant = self.scenario.planted_fault
+        planted_fault = self.scenario.planted_fault
         name = f"p{proposer}"
         match self.step(proposer, step_index):
             case "":
                 return None
-            case "grant" if plant == "number used again":
+            case "grant" if planted_fault == "number used again":
                 return partial(_grant_number_again, name=name, budget=self.budget)
-            case "grant" if plant == "ended by time":
+            case "grant" if planted_fault == "ended by time":
                 return partial(_grant_after_expiry, name=name, budget=self.budget)
             case "grant":
                 return partial(ledgers.grant, name=name, site="", budget=self.budget)
             case "release":
                 return partial(ledgers.release, name=name, number=lease_number)
-            case "admit" if plant == "voters changed by two":
-                return partial(_admit_all, spare=tuple(Voter(each, "0") for each in self.names[-2:]))
+            case "admit" if planted_fault == "voters changed by two":
+                return partial(
+                    _admit_all, spare=tuple(Voter(voter_name, "0") for voter_name in self.names[-2:])
+                )
             case step if step.startswith("admit"):
                 voter = Voter(self.names[self.scenario.voters + int(step[5:] or 0)], "0")
                 return partial(ledgers.add_voter, voter=voter)
--- a/spindlerelay/testbed/model_checking/lease_search.py
+++ b/spindlerelay/testbed/model_checking/lease_search.py
@@ -1,9 +1,10 @@
-"""Breadth-first search of all orders in which voters and proposers of maintenance leases hear of one another.
+"""Breadth-first search of all message orders between the voters and proposers of maintenance leases.
 
     python -m spindlerelay.testbed.model_checking.lease_search [--story NAME] [--depth N] [--states N]
 
-Every state is checked against the rules of ``lease_states.violation``. ``PLANTS`` are faults that the search
-has to find. Must not depend on the network or on time, except to report how long a search took.
+Every state is checked against the invariants of ``lease_states.violation``. The search has to find the faults
+in ``PLANTED_FAULTS``. The module must not depend on the network or on time, except to report the duration of
+a search.
 """
 
 from __future__ import annotations
@@ -31,10 +32,10 @@
 
     states: int
     depth: int
-    complete: bool  # whether every state was reached
-    seconds: float  # CPU time
+    complete: bool  # whether every reachable state was explored
+    seconds: float  # CPU time of the search
     violation: str = ""
-    shortest_path: tuple[str, ...] = ()  # the shortest way to the violation
+    shortest_path: tuple[str, ...] = ()  # transitions of a shortest path to the violation
 
 
 class LeaseSearch:
@@ -55,15 +56,15 @@
             depth += 1
             reached = list[State]()
             for state in frontier:
-                for description, after in self._transitions.after(state):
-                    if after in predecessors:
+                for description, successor in self._transitions.after(state):
+                    if successor in predecessors:
                         continue
-                    predecessors[after] = (state, description)
-                    if broken_rule := violation(self.scenario, self._transitions.values, after):
+                    predecessors[successor] = (state, description)
+                    if broken_rule := violation(self.scenario, self._transitions.values, successor):
                         seconds = time.process_time() - started_s
-                        way = _path_to(predecessors, after)
-                        return SearchResult(len(predecessors), depth, False, seconds, broken_rule, way)
-                    reached.append(after)
+                        path = _path_to(predecessors, successor)
+                        return SearchResult(len(predecessors), depth, False, seconds, broken_rule, path)
+                    reached.append(successor)
                 if len(predecessors) >= max_states:
                     return SearchResult(len(predecessors), depth - 1, False, time.process_time() - started_s)
             frontier = reached
@@ -79,11 +80,19 @@
 
 
 @click.command()
-@click.option("--story", type=click.Choice([*SCENARIOS]), help="This one alone.")
+@click.option("--story", type=click.Choice([*SCENARIOS]), help="Search only this scenario.")
 @click.option("--depth", default=40, type=click.IntRange(1, 200))
-@click.option("--states", default=2_000_000, type=click.IntRange(1000, 100_000_000), help="Most of a story.")
+@click.option(
+    "--states",
+    default=2_000_000,
+    type=click.IntRange(1000, 100_000_000),
+    help="Maximum number of states of a scenario.",
+)
 def main(story: str | None, depth: int, states: int) -> None:
-    """Search each story, and print states, depth and time; status 1 with the shortest way to a violation."""
+    """Search each scenario, and print its states, depth and time.
+
+    If a violation is found, print a shortest path to it and exit with status 1.
+    """
     any_violation = False
     for name in [story] if story else SCENARIOS:
         result = LeaseSearch(SCENARIOS[name]).run(depth, states)
--- a/spindlerelay/testbed/model_checking/lease_states.py
+++ b/spindlerelay/testbed/model_checking/lease_states.py
@@ -1,6 +1,7 @@
-"""States of the search of maintenance leases, and the invariant that each has to keep. Pure.
+"""States of the maintenance lease search, and the invariants that every state has to satisfy.
 
-A state is hashed some million times: it holds numbers that stand for values of ``StateValues``.
+A search hashes states some million times. A state therefore holds numbers that stand for the values in
+``StateValues``. The module has no I/O.
 """
 
 from __future__ import annotations
@@ -14,38 +15,38 @@
 T = TypeVar("T")
 
 Decision = tuple[Ballot, LeaseLedger]
-UNKNOWN_LEASE = -1  # of a proposer whose granted lease is not in the ledger
+UNKNOWN_LEASE = -1  # lease number of a proposer whose granted lease is not in the ledger
 
 
 class Proposer(NamedTuple):
-    """Where a proposer stands."""
+    """State of a proposer."""
 
-    step: int = 0  # how many steps it has completed
-    attempts: int = 0  # for the current step
-    lease_number: int = 0  # the lease that it believes to hold, 0 for none
+    step: int = 0  # number of completed steps
+    attempts: int = 0  # number of attempts for the current step
+    lease_number: int = 0  # lease that the proposer believes to hold, 0 for none
     attempt: Attempt | None = None
 
 
 class State(NamedTuple):
-    """Everything that decides what may happen next. The numbers are keys of ``StateValues``."""
+    """All state that determines the possible transitions. The numbers are keys of ``StateValues``."""
 
-    votes: tuple[int, ...]  # on the disk of each voter
-    disk_losses: tuple[int, ...]  # of each voter
+    votes: tuple[int, ...]  # vote on the disk of each voter
+    disk_losses: tuple[int, ...]  # number of disk losses of each voter
     proposers: tuple[int, ...]
-    requests: frozenset[int]  # that may still arrive
-    replies: frozenset[int]  # that may still be heard
-    decisions: int  # one tuple of all ledgers that were decided, by ballot
+    requests: frozenset[int]  # requests that may still arrive at a voter
+    replies: frozenset[int]  # replies that may still arrive at a proposer
+    decisions: int  # number of the tuple of all decided ledgers, sorted by ballot
 
 
 class Interned(Generic[T]):
-    """Gives equal values one number."""
+    """Interning table that assigns one number to equal values."""
 
     def __init__(self) -> None:
         self.values = list[T]()
         self._numbers = dict[T, int]()
 
     def __call__(self, value: T) -> int:
-        """Return the number of a value, a new one at its first call."""
+        """Return the number of a value; assign a new number to a new value."""
         number = self._numbers.setdefault(value, len(self.values))
         if number == len(self.values):
             self.values.append(value)
@@ -64,24 +65,28 @@
 
 
 def violation(scenario: LeaseScenario, values: StateValues, state: State) -> str:
-    """Return which rule a state breaks, empty if none.
+    """Return the invariant that a state violates, or an empty text if it violates none.
 
-    No more nodes are out by a lease than the budget allows, no two of one number, and the decided ledgers are
-    one history: by ballot, versions and numbers never go back, and no two ledgers of one version differ.
+    The number of nodes in maintenance under a lease never exceeds the budget, and no two of them use the same
+    lease number. The decided ledgers form one history: ordered by ballot, ledger versions and lease numbers
+    never decrease, and two ledgers of the same version are equal.
     """
     proposers = [values.proposers.values[number] for number in state.proposers]
-    leases = [_lease_in_use(scenario, place, proposer) for place, proposer in enumerate(proposers)]
+    leases = [_lease_in_use(scenario, index, proposer) for index, proposer in enumerate(proposers)]
     leases = [number for number in leases if number]
     if len(leases) > scenario.budget:
-        return f"{len(leases)} are out, the budget is {scenario.budget}"
+        return f"{len(leases)} nodes are in maintenance, but the budget is {scenario.budget}"
     if len(set(leases)) < len(leases) or UNKNOWN_LEASE in leases:
-        return f"two permits of one number: {leases}"
+        return f"two leases have the same number, or a granted lease is not in the ledger: {leases}"
     return _history_violation(values.decisions.values[state.decisions])
 
 
-def _lease_in_use(scenario: LeaseScenario, place: int, proposer: Proposer) -> int:
-    """Return the lease by which a node is out: it releases it once it serves again, not before."""
-    steps = scenario.steps[place]
+def _lease_in_use(scenario: LeaseScenario, proposer_index: int, proposer: Proposer) -> int:
+    """Return the lease under which a node is in maintenance, 0 for none.
+
+    A node starts to release its lease only once it serves again, so a releasing node is not in maintenance.
+    """
+    steps = scenario.steps[proposer_index]
     releasing = proposer.attempts and proposer.step < len(steps) and steps[proposer.step] == "release"
     return 0 if releasing else proposer.lease_number
 
@@ -91,11 +96,11 @@
     previous = LeaseLedger()
     for _, ledger in decisions:
         if ledger.version < previous.version or ledger.last_lease_number < previous.last_lease_number:
-            return f"an older ledger won: {ledger} after {previous}"
+            return f"an older ledger was decided: {ledger} after {previous}"
         if previous.voters and ledger.version == previous.version and ledger != previous:
             return f"two ledgers of one version: {previous} and {ledger}"
         for lease in ledger.leases:
             if by_number.setdefault(lease.number, lease) != lease:
-                return f"number {lease.number} was used again"
+                return f"lease number {lease.number} was used again"
         previous = ledger
     return ""
--- a/spindlerelay/testbed/model_checking/lease_transitions.py
+++ b/spindlerelay/testbed/model_checking/lease_transitions.py
@@ -1,10 +1,11 @@
-"""Every transition of a state of the lease protocol. Pure.
-
-What runs is ``maintenance.quorum`` and ``maintenance.lease_ledger`` themselves. From each state follows: a
-proposer begins, or begins again; a request arrives, at any voter, any number of times, or never; a proposer
-hears any replies that make a difference; a node that is out comes back; a voter comes back with an empty
-disk. A crash of a voter between its record and its reply is the reply that is never heard; a crash of a
-proposer is that it begins again.
+"""State transitions of the maintenance lease protocol.
+
+The checked code is the product's own ``maintenance.quorum`` and ``maintenance.lease_ledger``. The transitions
+from a state are: a proposer begins an attempt, or begins again; a request arrives at any voter, any number of
+times or never; a proposer receives any set of replies that changes its stage; a node in maintenance returns
+to service; a voter restarts with an empty disk. A voter that crashes between recording its vote and replying
+is covered by a reply that is never received. A proposer that crashes is covered by a proposer that begins
+again. The module has no I/O.
 """
 
 from __future__ import annotations
@@ -28,11 +29,11 @@
 
 T = TypeVar("T")
 NO_REQUEST = -1
-Transition = tuple[str, State]  # what happens, in words, and the state after it
+Transition = tuple[str, State]  # description of the event, and the state after it
 
 
 class _ProposerMove(NamedTuple):
-    """A proposer's move: its new value, the request that it sends, and the ledger that it decided."""
+    """A proposer's transition: its new value, the request that it sends, and the ledger that it decided."""
 
     description: str
     proposer: int
@@ -41,7 +42,7 @@
 
 
 class _VoterMove(NamedTuple):
-    """A request that arrives at a voter: its new vote, and the reply."""
+    """A voter's transition when a request arrives: the new vote, and the reply."""
 
     description: str
     vote: int
@@ -49,19 +50,21 @@
 
 
 class LeaseTransitions:
-    """The transitions of one scenario. ``initial`` is where all orders of events begin."""
+    """The transitions of one scenario. Every search begins at the state ``initial``."""
 
     def __init__(self, scenario: LeaseScenario) -> None:
         self.scenario = scenario
         self.values = StateValues()
         self._voters = ScenarioVoters(scenario)
-        self._arrive = cache(self._request_arrives)
-        self._hear = cache(self._replies_heard)
-        self._begin = cache(self._attempt_begins)
+        self._cached_request_arrives = cache(self._request_arrives)
+        self._cached_replies_received = cache(self._replies_received)
+        self._cached_attempt_begins = cache(self._attempt_begins)
         self._relevant_replies = cache(self._find_relevant_replies)
         self._relevant_requests = cache(self._find_relevant_requests)
-        founded = self.values.votes(VoterState(ledger=self._voters.founding_ledger))
-        votes = (founded,) * scenario.voters + (self.values.votes(VoterState()),) * scenario.spare_voters
+        founding_vote = self.values.votes(VoterState(ledger=self._voters.founding_ledger))
+        votes = (founding_vote,) * scenario.voters + (
+            self.values.votes(VoterState()),
+        ) * scenario.spare_voters
         self.initial = State(
             votes=votes,
             disk_losses=(0,) * len(votes),
@@ -73,49 +76,51 @@
 
     def after(self, state: State) -> Iterator[Transition]:
         """Yield all transitions from a state."""
-        yield from self._proposers_move(state)
-        yield from self._requests_arrive(state)
-        yield from self._disks_get_lost(state)
+        yield from self._proposer_transitions(state)
+        yield from self._request_transitions(state)
+        yield from self._disk_loss_transitions(state)
 
-    def _proposers_move(self, state: State) -> Iterator[Transition]:
+    def _proposer_transitions(self, state: State) -> Iterator[Transition]:
         ballots = frozenset(self.values.votes.values[number].promised for number in state.votes)
-        for place, proposer in enumerate(state.proposers):
-            for move in self._begin(place, proposer, ballots):
-                yield move.description, self._after_move(state, place, move)
-            for move in self._hear(place, proposer, state.replies):
-                yield move.description, self._after_move(state, place, move)
+        for proposer_index, proposer in enumerate(state.proposers):
+            for move in self._cached_attempt_begins(proposer_index, proposer, ballots):
+                yield move.description, self._state_after_move(state, proposer_index, move)
+            for move in self._cached_replies_received(proposer_index, proposer, state.replies):
+                yield move.description, self._state_after_move(state, proposer_index, move)
 
-    def _after_move(self, state: State, place: int, move: _ProposerMove) -> State:
+    def _state_after_move(self, state: State, proposer_index: int, move: _ProposerMove) -> State:
         decisions = state.decisions
         if move.decision is not None:
             known = self.values.decisions.values[decisions]
             decisions = self.values.decisions(tuple(sorted({*known, move.decision})))
-        proposers = _replaced(state.proposers, place, move.proposer)
+        proposers = _replaced(state.proposers, proposer_index, move.proposer)
         requests = state.requests | {move.request} if move.request != NO_REQUEST else state.requests
         requests = self._relevant_requests(state.votes, state.disk_losses, proposers, requests)
         replies = self._relevant_replies(proposers, state.replies)
         return state._replace(proposers=proposers, requests=requests, replies=replies, decisions=decisions)
 
-    def _requests_arrive(self, state: State) -> Iterator[Transition]:
+    def _request_transitions(self, state: State) -> Iterator[Transition]:
         for request in state.requests:
-            for place, before in enumerate(state.votes):
-                for move in self._arrive(place, state.disk_losses[place], before, request):
+            for voter_index, before in enumerate(state.votes):
+                for move in self._cached_request_arrives(
+                    voter_index, state.disk_losses[voter_index], before, request
+                ):
                     replies = self._relevant_replies(state.proposers, state.replies | {move.reply})
                     if move.vote == before and replies == state.replies:
                         continue
-                    votes = _replaced(state.votes, place, move.vote)
+                    votes = _replaced(state.votes, voter_index, move.vote)
                     requests = self._relevant_requests(
                         votes, state.disk_losses, state.proposers, state.requests
                     )
                     yield move.description, state._replace(votes=votes, replies=replies, requests=requests)
 
-    def _disks_get_lost(self, state: State) -> Iterator[Transition]:
+    def _disk_loss_transitions(self, state: State) -> Iterator[Transition]:
         if sum(state.disk_losses) >= self.scenario.max_disk_losses:
             return
-        for place in range(self.scenario.voters):
-            disk_losses = _replaced(state.disk_losses, place, state.disk_losses[place] + 1)
-            votes = _replaced(state.votes, place, self.values.votes(self._empty_vote()))
-            description = f"{self._voters.names[place]} is back with an empty folder"
+        for voter_index in range(self.scenario.voters):
+            disk_losses = _replaced(state.disk_losses, voter_index, state.disk_losses[voter_index] + 1)
+            votes = _replaced(state.votes, voter_index, self.values.votes(self._empty_vote()))
+            description = f"{self._voters.names[voter_index]} is back with an empty folder"
             yield description, state._replace(votes=votes, disk_losses=disk_losses)
 
     def _empty_vote(self) -> VoterState:
@@ -123,11 +128,13 @@
             return VoterState(ledger=self._voters.founding_ledger)
         return VoterState()
 
-    # What can still make a difference
+    # Pruning of messages that cannot change any state
 
     def _awaited_stages(self, proposers: tuple[int, ...]) -> dict[Ballot, AttemptStage]:
         attempts = [self.values.proposers.values[number].attempt for number in proposers]
-        return {each.ballot: each.stage for each in attempts if each and each.request() is not None}
+        return {
+            attempt.ballot: attempt.stage for attempt in attempts if attempt and attempt.request() is not None
+        }
 
     def _find_relevant_replies(self, proposers: tuple[int, ...], replies: frozenset[int]) -> frozenset[int]:
         """Return the replies that a proposer waits for."""
@@ -150,7 +157,8 @@
     ) -> frozenset[int]:
         """Return the requests that may change a vote.
 
-        A promise to an attempt that was given up only rejects what may get lost as well.
+        A promise to an abandoned attempt can be ignored: it only makes the voter reject requests that may get
+        lost as well.
         """
         if sum(disk_losses) < self.scenario.max_disk_losses:
             return requests
@@ -167,31 +175,40 @@
                 relevant.add(number)
         return frozenset(relevant)
 
-    # Moves, cached by what they depend on
-
-    def _attempt_begins(self, place: int, number: int, promised: frozenset[Ballot]) -> list[_ProposerMove]:
-        """Begin above the proposer's own ballots, or above all that voters can have reported."""
-        proposer = self.values.proposers.values[number]
-        if not self._voters.step(place, proposer.step) or proposer.attempts >= self.scenario.max_attempts:
+    # Transitions of single proposers and voters, cached by their inputs
+
+    def _attempt_begins(
+        self, proposer_index: int, proposer_number: int, promised: frozenset[Ballot]
+    ) -> list[_ProposerMove]:
+        """Begin above the proposer's last ballot, or above the highest ballot that voters have promised."""
+        proposer = self.values.proposers.values[proposer_number]
+        if (
+            not self._voters.step(proposer_index, proposer.step)
+            or proposer.attempts >= self.scenario.max_attempts
+        ):
             return []
         previous = proposer.attempt
         if previous is None:
-            previous = Attempt(Ballot(0, f"p{place}"), self._voters.founders, self._voters.founding_ledger)
+            previous = Attempt(
+                Ballot(0, f"p{proposer_index}"), self._voters.founders, self._voters.founding_ledger
+            )
         moves = []
-        for above in {previous.ballot, max(promised)}:
-            attempt = voting.next_attempt(previous._replace(highest_promised=above))
+        for highest_promised in {previous.ballot, max(promised)}:
+            attempt = voting.next_attempt(previous._replace(highest_promised=highest_promised))
             after = self.values.proposers(proposer._replace(attempts=proposer.attempts + 1, attempt=attempt))
             request = attempt.request()
             assert request is not None
-            description = f"p{place} begins {attempt.ballot.round}"
+            description = f"p{proposer_index} begins {attempt.ballot.round}"
             moves.append(_ProposerMove(description, after, self.values.requests(request)))
         return moves
 
-    def _request_arrives(self, place: int, disk_losses: int, before: int, number: int) -> list[_VoterMove]:
+    def _request_arrives(
+        self, voter_index: int, disk_losses: int, vote_number: int, request_number: int
+    ) -> list[_VoterMove]:
         identity_lost = self.scenario.planted_fault == "vote lost with the folder"
-        voter = Voter(self._voters.names[place], "0" if identity_lost else str(disk_losses))
-        request = self.values.requests.values[number]
-        vote = self.values.votes.values[before]
+        voter = Voter(self._voters.names[voter_index], "0" if identity_lost else str(disk_losses))
+        request = self.values.requests.values[request_number]
+        vote = self.values.votes.values[vote_number]
         recorded, reply = voting.respond(voter, vote, request)
         ballot = request.ballot
         description = f"{type(request).__name__} {ballot.proposer_id}.{ballot.round} at {voter.node_name}"
@@ -199,60 +216,65 @@
         moves = [_VoterMove(description, self.values.votes(recorded), reply_number)]
         if self.scenario.planted_fault == "told before recorded" and recorded != vote:
             crash = f"{description}, which tells, and dies before its record"
-            moves.append(_VoterMove(crash, before, reply_number))
+            moves.append(_VoterMove(crash, vote_number, reply_number))
         return moves
 
-    def _replies_heard(self, place: int, number: int, replies: frozenset[int]) -> list[_ProposerMove]:
-        """Hear the smallest sets of replies that make a difference: a larger set makes no other one."""
-        proposer = self.values.proposers.values[number]
+    def _replies_received(
+        self, proposer_index: int, proposer_number: int, replies: frozenset[int]
+    ) -> list[_ProposerMove]:
+        """Receive the minimal sets of replies that change the attempt's stage.
+
+        A larger set has the same effect as the minimal set that it contains.
+        """
+        proposer = self.values.proposers.values[proposer_number]
         attempt = proposer.attempt
         if attempt is None or attempt.request() is None:
             return []
-        own = [self.values.replies.values[each] for each in replies]
-        own = sorted((reply for reply in own if reply.ballot == attempt.ballot), key=repr)
+        own_replies = [self.values.replies.values[reply_number] for reply_number in replies]
+        own_replies = sorted((reply for reply in own_replies if reply.ballot == attempt.ballot), key=repr)
         sufficient = list[frozenset[Reply]]()
         moves = []
-        for size in range(1, len(own) + 1):
-            for heard in combinations(own, size):
-                if any(smaller <= frozenset(heard) for smaller in sufficient):
+        for size in range(1, len(own_replies) + 1):
+            for received in combinations(own_replies, size):
+                if any(smaller <= frozenset(received) for smaller in sufficient):
                     continue
-                after = self._attempt_after(attempt, heard, place, proposer)
+                after = self._attempt_after(attempt, received, proposer_index, proposer)
                 if after.stage is not attempt.stage:
-                    sufficient.append(frozenset(heard))
-                    voters = ", ".join(reply.voter.node_name for reply in heard)
-                    description = f"p{place} hears {voters}: {after.stage.value}"
-                    moves.append(self._proposer_after(description, place, proposer, after))
+                    sufficient.append(frozenset(received))
+                    voters = ", ".join(reply.voter.node_name for reply in received)
+                    description = f"p{proposer_index} hears {voters}: {after.stage.value}"
+                    moves.append(self._move_after_replies(description, proposer_index, proposer, after))
         return moves
 
     def _attempt_after(
-        self, attempt: Attempt, heard: tuple[Reply, ...], place: int, proposer: Proposer
+        self, attempt: Attempt, received: tuple[Reply, ...], proposer_index: int, proposer: Proposer
     ) -> Attempt:
-        change = self._voters.change(place, proposer.step, proposer.lease_number)
-        for reply in heard:
+        change = self._voters.change(proposer_index, proposer.step, proposer.lease_number)
+        for reply in received:
             attempt = voting.after_reply(attempt, reply, change)
         if self.scenario.planted_fault == "majority of the living" and attempt.request() is not None:
-            # Planted: a voter that does not reply counts as dead, and those that do as all.
-            if isinstance(heard[0], voting.Accepted):
+            # Planted fault: voters that do not reply count as dead, and the repliers count as all voters.
+            if isinstance(received[0], voting.Accepted):
                 return attempt._replace(stage=AttemptStage.CHOSEN)
-            promises = [reply for reply in heard if isinstance(reply, voting.Promised)]
+            promises = [reply for reply in received if isinstance(reply, voting.Promised)]
             latest = max(promises, key=lambda promise: promise.accepted).ledger
             proposed = change(latest) if change else latest
             if isinstance(proposed, LeaseLedger):
                 return attempt._replace(stage=AttemptStage.ACCEPT, ledger=proposed)
         return attempt
 
-    def _proposer_after(
-        self, description: str, place: int, proposer: Proposer, attempt: Attempt
+    def _move_after_replies(
+        self, description: str, proposer_index: int, proposer: Proposer, attempt: Attempt
     ) -> _ProposerMove:
         if attempt.stage is not AttemptStage.CHOSEN:
             request = attempt.request()
             after = self.values.proposers(proposer._replace(attempt=attempt))
             request_number = self.values.requests(request) if request else NO_REQUEST
             return _ProposerMove(description, after, request_number)
-        step = self._voters.step(place, proposer.step)
+        step = self._voters.step(proposer_index, proposer.step)
         lease_number = proposer.lease_number
         if step == "grant":
-            lease = attempt.ledger.lease_of(f"p{place}")
+            lease = attempt.ledger.lease_of(f"p{proposer_index}")
             lease_number = lease.number if lease else UNKNOWN_LEASE
         elif step == "release":
             lease_number = 0
@@ -260,5 +282,5 @@
         return _ProposerMove(description, after, decision=(attempt.ballot, attempt.ledger))
 
 
-def _replaced(values: tuple[T, ...], place: int, value: T) -> tuple[T, ...]:
-    return (*values[:place], value, *values[place + 1 :])
+def _replaced(values: tuple[T, ...], index: int, value: T) -> tuple[T, ...]:
+    return (*values[:index], value, *values[index + 1 :])
