--- a/spindlerelay/testbed/fault_injection/__init__.py
+++ b/spindlerelay/testbed/fault_injection/__init__.py
@@ -1,1 +1,1 @@
-"""Faults between processes: schedules, and proxies on sockets that carry them out."""
+"""Fault injection for real processes: fault schedules, and socket proxies that carry out link faults."""
--- a/spindlerelay/testbed/fault_injection/datagram_proxy.py
+++ b/spindlerelay/testbed/fault_injection/datagram_proxy.py
@@ -1,6 +1,6 @@
-"""A proxy for the datagrams of one link, which delivers, delays or drops each.
+"""Proxy for the datagrams of one link, which delivers, delays or drops every datagram.
 
-It owns one socket. Which datagrams it drops depends on the active conditions and on the source's address.
+The proxy owns one socket. It decides which datagrams to drop by the active conditions and the source address.
 """
 
 from __future__ import annotations
@@ -19,20 +19,24 @@
 
 
 class DatagramProxy:
-    """Datagrams of a node to one target, or, with an address ``at``, of others to a node.
+    """Proxy for datagrams from a node to one target, or from other nodes to a node.
 
-    ``is_source_denied`` selects by address whose datagrams are dropped besides.
+    With the default ``listen_address``, the proxy carries the outward datagrams of a node; with any other
+    address, the inward ones. If ``is_source_denied`` is set, datagrams from source addresses for which it
+    returns True are dropped, too.
     """
 
-    def __init__(self, loop: EventLoop, target: Address, rng: random.Random, at: Address = LOOPBACK) -> None:
+    def __init__(
+        self, loop: EventLoop, target: Address, rng: random.Random, listen_address: Address = LOOPBACK
+    ) -> None:
         self.loop = loop
         self.target = target
         self.inward_conditions = ActiveConditions()
         self.outward_conditions = ActiveConditions()
         self.is_source_denied: Callable[[str, int], bool] | None = None
         self._rng = rng
-        self._conditions = self.outward_conditions if at == LOOPBACK else self.inward_conditions
-        self._sock = loop.system.datagram_socket(at)
+        self._conditions = self.outward_conditions if listen_address == LOOPBACK else self.inward_conditions
+        self._sock = loop.system.datagram_socket(listen_address)
         self.address: Address = self._sock.getsockname()
         loop.register(self._sock, selectors.EVENT_READ, self)
 
@@ -59,10 +63,10 @@
         self._sock.sendto(data, self.target)
 
     def on_handler_error(self) -> None:
-        """Ignore the loop's notice: the socket is closed by ``close`` alone."""
+        """Ignore the event loop's error notice, since only ``close`` closes the socket."""
 
     def tick(self, now: float) -> None:
-        """Do nothing: delayed datagrams are sent by timers."""
+        """Do nothing, since timers send the delayed datagrams."""
 
     def close(self) -> None:
         """Close the socket."""
--- a/spindlerelay/testbed/fault_injection/fault_player.py
+++ b/spindlerelay/testbed/fault_injection/fault_player.py
@@ -1,6 +1,6 @@
-"""Carries out the faults of a schedule on the nodes of a pool, and records what was done when.
+"""Player that carries out the faults of a schedule on the nodes of a pool and keeps a journal of them.
 
-It knows nodes and links by name only; how a fault acts on a link is the proxies' matter.
+The player knows nodes and links by name only. The link proxies implement the effect of a fault on a link.
 """
 
 from __future__ import annotations
@@ -19,14 +19,15 @@
     faulted_links,
 )
 
-SETTLE_MS = 300.0  # after a link's fault, until bytes that it delayed are read or its reset is noticed
-SUCCESSOR_DELAY_MS = 100.0  # from a process's end to its successor's start
+# Time after the end of a link fault until delayed bytes have been read and a reset has been noticed.
+SETTLE_MS = 300.0
+SUCCESSOR_DELAY_MS = 100.0  # delay from the exit of a process to the start of its successor
 
 
 class JournalEntry(NamedTuple):
-    """One thing done to a node.
+    """The start or the end of one fault of a node.
 
-    ``at_ms`` is since the first request; ``began`` is False for a fault's end.
+    ``at_ms`` is the time since the first request. ``began`` is False for the end of a fault.
     """
 
     at_ms: float
@@ -45,7 +46,10 @@
 
 
 class FaultPlayer:
-    """Plays a schedule on one pool. ``tick`` is called from the first request on; nothing is done before."""
+    """Plays a schedule on one pool.
+
+    The caller calls ``tick`` from the first request on. The player changes no node before the first call.
+    """
 
     def __init__(self, pool: NodePool, faults: tuple[Fault, ...]) -> None:
         names = pool.spec.node_names()
@@ -58,45 +62,45 @@
         self._draining: list[NodeHost] = []
         links = faulted_links([*self._pending, *self._pending_partitions], len(names))
         pool.proxies.set_proxied_links(frozenset((names[node], link) for node, link in links))
-        self._names = names
+        self._node_names = names
 
-    def tick(self, at: float) -> None:
-        """Do what is due at this time in ms since the first request, the ends of faults first."""
-        for active in [active for active in self._active if active.ends_at <= at]:
+    def tick(self, at_ms: float) -> None:
+        """End and begin the faults that are due, ends first; ``at_ms`` counts from the first request."""
+        for active in [active for active in self._active if active.ends_at <= at_ms]:
             self._active.remove(active)
-            self._record(at, active.fault, began=False)
+            self._record(at_ms, active.fault, began=False)
             active.end()
-        while self._pending and self._pending[0].at_ms <= at:
+        while self._pending and self._pending[0].at_ms <= at_ms:
             fault = self._pending.pop(0)
-            self._record(at, fault, began=True)
-            if end := self._begin(fault):
+            self._record(at_ms, fault, began=True)
+            if end := self._begin_fault(fault):
                 self._active.append(_ActiveFault(fault.at_ms + fault.effective_duration_ms, fault, end))
-        for fault in [fault for fault in self._pending_partitions if fault.at_ms <= at]:
+        for fault in [fault for fault in self._pending_partitions if fault.at_ms <= at_ms]:
             self._pending_partitions.remove(fault)
             self._partition(int(fault.magnitude))
             self._active.append(
                 _ActiveFault(fault.at_ms + fault.duration_ms, fault, partial(self._partition, 0))
             )
-            self._record(at, fault, began=True)
+            self._record(at_ms, fault, began=True)
         for host in [host for host in self._draining if host.has_exited()]:
             self._draining.remove(host)
             self.pool.loop.call_later(SUCCESSOR_DELAY_MS, partial(self._start, host))
 
-    def _record(self, at: float, fault: Fault, *, began: bool) -> None:
-        name = self._names[fault.node]
+    def _record(self, at_ms: float, fault: Fault, *, began: bool) -> None:
+        name = self._node_names[fault.node]
         state = ""
         if fault.kind == "split":
             if name not in self.pool.hosts:
-                return  # the shard that has the node records it
+                return  # the shard that hosts the node records the partition
             name = "all"
         else:
             state = self.pool.hosts[name].state(self.pool.loop.now())
-        entry = JournalEntry(round(at, 1), fault.kind, name, fault.link, fault.direction, began, state)
+        entry = JournalEntry(round(at_ms, 1), fault.kind, name, fault.link, fault.direction, began, state)
         self.journal.append(entry)
 
-    def _begin(self, fault: Fault) -> Callable[[], None] | None:
-        """Return what ends the fault, None where it is over at once or ends by itself."""
-        host = self.pool.hosts[self._names[fault.node]]
+    def _begin_fault(self, fault: Fault) -> Callable[[], None] | None:
+        """Begin a fault; return a function that ends it, or None if the fault ends by itself."""
+        host = self.pool.hosts[self._node_names[fault.node]]
         if fault.kind in LINK_KINDS:
             return self._begin_link_fault(host, fault)
         match fault.kind:
@@ -124,31 +128,35 @@
         def end() -> None:
             self.pool.proxies.end_fault(number)
             if affects_balancers:
-                self.pool.loop.call_later(SETTLE_MS, partial(self._clear, host))
+                self.pool.loop.call_later(SETTLE_MS, partial(self._end_network_fault, host))
 
         return end
 
-    def _clear(self, host: NodeHost) -> None:
-        """Check the node's answers again, once no connection of the link is still to be reset."""
+    def _end_network_fault(self, host: NodeHost) -> None:
+        """Resume the checks of the node's answers once no reset is pending on its balancer link."""
         if self.pool.proxies.reset_pending(host.name, "balancers"):
-            self.pool.loop.call_later(SETTLE_MS, partial(self._clear, host))
+            self.pool.loop.call_later(SETTLE_MS, partial(self._end_network_fault, host))
         else:
             self.pool.checker.set_network_fault(host.name, False)
 
     def _partition(self, size: int) -> None:
-        """Partition the first ``size`` nodes from the rest; 0 ends it."""
+        """Partition the first ``size`` nodes from all other nodes; a size of 0 ends the partition."""
         spec = self.pool.spec
         numbers = {}
         for number in range(len(spec.nodes)):
             host, port = spec.member_address(number)
             numbers[host, port] = numbers[host, port + PROXIED_PORT_OFFSET] = number
 
-        def crosses(host: str, port: int, *, inside: bool) -> bool:
-            return (numbers.get((host, port), 0) < size) != inside
+        def crosses_partition(host: str, port: int, *, in_first_group: bool) -> bool:
+            return (numbers.get((host, port), 0) < size) != in_first_group
 
-        for inside in (True, False):
-            nodes = [name for name in self.pool.hosts if (self._names.index(name) < size) == inside]
-            self.pool.proxies.partition(partial(crosses, inside=inside) if size else None, nodes)
+        for in_first_group in (True, False):
+            nodes = [
+                name for name in self.pool.hosts if (self._node_names.index(name) < size) == in_first_group
+            ]
+            self.pool.proxies.partition(
+                partial(crosses_partition, in_first_group=in_first_group) if size else None, nodes
+            )
 
     def _start(self, host: NodeHost) -> None:
         if host.machine is None:
--- a/spindlerelay/testbed/fault_injection/fault_schedule.py
+++ b/spindlerelay/testbed/fault_injection/fault_schedule.py
@@ -1,26 +1,26 @@
-"""Fault schedules: which fault affects which node when, drawn from a seed or read from a file.
+"""Fault schedules: the faults of a fleet with their times and nodes, drawn from a seed or read from a file.
 
-Pure but for ``read``, which opens one file. The same schedule is played by the cluster on real processes and
-by the simulation in virtual time. Times are in ms since the first request.
+The cluster plays a schedule on real processes, and the simulation plays the same schedule in virtual time.
+Times are ms since the first request. Only ``load_schedule`` does I/O: it reads one file.
 
-| kind | what happens |
+| kind | effect |
 | --- | --- |
-| kill | process and interpreter die, and return cold after ``size`` ms |
-| pause | SIGSTOP, for ``size`` ms |
-| replace | SIGTERM, and a cold successor once the process has ended |
-| slow | the machine is ``size`` times slower, for ``for_ms`` |
-| cut | nothing passes on a link for ``size`` ms: streams catch up after it, datagrams are lost |
-| drop | a fraction ``size`` of the datagrams of a link is lost, for ``for_ms`` |
-| delay | what passes on a link arrives ``size`` ms later, for ``for_ms`` |
-| limit | a link carries ``size`` bytes a second, for ``for_ms`` |
-| reset | every connection of a link is reset, after ``size`` more bytes of each |
-| refuse | a link accepts connections and resets each at once, for ``size`` ms |
-| half_open | the far ends of a link's connections are closed, and the near ones learn it ``size`` ms later |
-| late_list | the endpoint list that balancers see is older by ``size`` ms, for ``for_ms`` |
-| split | the first ``size`` nodes and the rest are partitioned from each other for ``for_ms`` |
-
-The link ``members`` carries the membership datagrams that other nodes send to this one (direction ``in``).
-``way`` is the direction as the node sees it: in, out, or both.
+| kill | the process and its interpreter are killed, and restart cold after ``size`` ms |
+| pause | the process is stopped by SIGSTOP for ``size`` ms |
+| replace | the process gets SIGTERM, and a cold successor starts once the process has ended |
+| slow | the machine is ``size`` times slower for ``for_ms`` |
+| cut | a link is blocked for ``size`` ms: streams catch up afterwards, datagrams are lost |
+| drop | a fraction ``size`` of the datagrams of a link is lost for ``for_ms`` |
+| delay | data on a link arrives ``size`` ms later for ``for_ms`` |
+| limit | a link carries at most ``size`` bytes per second for ``for_ms`` |
+| reset | every connection of a link is reset after it has carried ``size`` more bytes |
+| refuse | a link accepts connections and resets them immediately, for ``size`` ms |
+| half_open | the far ends of a link's connections are closed, the near ends are notified ``size`` ms later |
+| late_list | the endpoint list that balancers see is delayed by ``size`` ms for ``for_ms`` |
+| split | the first ``size`` nodes are partitioned from all other nodes for ``for_ms`` |
+
+The link ``members`` carries the membership datagrams that other nodes send to the node (direction ``in``).
+The key ``way`` is the direction from the node's point of view: in, out, or both.
 """
 
 from __future__ import annotations
@@ -41,11 +41,13 @@
 FLEET_KINDS = ("late_list", "split")
 DATAGRAM_KINDS = ("cut", "drop", "delay")
 KINDS = (*PROCESS_KINDS, *LINK_KINDS, *FLEET_KINDS)
-TIMED_KINDS = frozenset({"slow", "drop", "delay", "limit", "late_list", "split"})  # last for ``for_ms``
+# Kinds that last for ``for_ms``.
+TIMED_KINDS = frozenset({"slow", "drop", "delay", "limit", "late_list", "split"})
 INSTANTANEOUS_KINDS = ("reset", "replace")
 
 SERIES = ("none", "slow", "stalls", "kills", "cuts", "late_lists", "all")
-EARLIEST_START_FRACTION = 0.15  # of the run's length
+# Start and duration of drawn faults, as fractions of the run's length.
+EARLIEST_START_FRACTION = 0.15
 LATEST_START_FRACTION = 0.55
 SLOW_DURATION_FRACTION = 0.6
 LATE_LIST_DURATION_FRACTION = 0.5
@@ -54,7 +56,7 @@
 DOWNTIME_MS = 2500.0
 CUT_MS = 2500.0
 LIST_DELAY_MS = 2000.0
-# One node in so many is affected by each series.
+# Number of nodes per affected node, by series.
 NODES_PER_FAULT = (("slow", 8), ("stalls", 20), ("kills", 10), ("cuts", 10))
 
 FIELD_DEFAULTS: dict[str, Any] = {
@@ -69,7 +71,7 @@
 
 
 class Fault(NamedTuple):
-    """One fault. ``node`` counts from 0; the kind says what ``size`` means."""
+    """One fault. ``node`` counts from 0; the meaning of ``magnitude`` depends on the kind."""
 
     at_ms: float
     kind: str
@@ -81,7 +83,7 @@
 
     @property
     def effective_duration_ms(self) -> float:
-        """Return how long the fault lasts; 0 for a fault of one instant."""
+        """Return the duration of the fault in ms; 0 for an instantaneous fault."""
         if self.kind in TIMED_KINDS:
             return self.duration_ms
         return 0.0 if self.kind in INSTANTANEOUS_KINDS else self.magnitude
@@ -93,11 +95,11 @@
 
 
 class ScheduleError(SpindlerelayError):
-    """A schedule that cannot be played.
+    """A fault schedule cannot be read or is invalid.
 
     Attributes:
-        location: the file, or the file and the number of the fault.
-        problem: what is wrong there and what would be right.
+        location: path of the file, or path and number of the fault.
+        problem: description of the invalid value and of the expected value.
     """
 
     def __init__(self, location: str, problem: str) -> None:
@@ -110,10 +112,10 @@
 
 
 def validate(faults: Sequence[Fault], nodes: int, location: str = "faults") -> tuple[Fault, ...]:
-    """Return the faults in the order of their times.
+    """Return the faults sorted by time.
 
     Raises:
-        ScheduleError: for the first fault that a fleet of so many nodes cannot have.
+        ScheduleError: If a fault is invalid for a fleet of ``nodes`` nodes; the first such fault is reported.
     """
     for number, fault in enumerate(faults, 1):
         if problem := _problem(fault, nodes):
@@ -133,7 +135,7 @@
     if fault.kind in LINK_KINDS and fault.link not in (*LINKS, MEMBERSHIP_LINK):
         return f"link: {fault.link!r} stands there; expected one of {', '.join((*LINKS, MEMBERSHIP_LINK))}"
     if fault.link == MEMBERSHIP_LINK and (fault.kind not in DATAGRAM_KINDS or fault.direction != "in"):
-        return f"link: members stands there; expected {', '.join(DATAGRAM_KINDS)}, each with way in"
+        return f"link: members stands there; expected kind {', '.join(DATAGRAM_KINDS)} and way in"
     return ""
 
 
@@ -143,7 +145,7 @@
     if fault.at_ms < 0.0 or fault.magnitude < 0.0 or fault.duration_ms < 0.0:
         return "at_ms, size and for_ms: a number below 0 stands there; expected at least 0"
     if fault.kind in TIMED_KINDS and not fault.duration_ms:
-        return f"for_ms: 0 stands there; a {fault.kind} lasts longer"
+        return f"for_ms: 0 stands there; expected a number above 0 for kind {fault.kind}"
     return ""
 
 
@@ -151,7 +153,7 @@
     """Return the ``[[fault]]`` tables of a TOML file.
 
     Raises:
-        ScheduleError: where the file cannot be read or describes no schedule for so many nodes.
+        ScheduleError: If the file cannot be read, or its schedule is invalid for ``nodes`` nodes.
     """
     try:
         with Path(path).open("rb") as file:
@@ -193,10 +195,11 @@
 
 
 def draw_series(name: str, seed: int, nodes: int, length_ms: float) -> tuple[Fault, ...]:
-    """Return the faults of one of ``SERIES`` over a run of this length.
+    """Return the faults of one of ``SERIES`` for a run of ``length_ms``.
 
-    An eighth of the nodes is slow, a twentieth paused, a tenth killed, a tenth has a link cut, the endpoint
-    list is late, or all of it at once. No node has more than one of them.
+    In the series, an eighth of the nodes is slow, a twentieth is paused, a tenth is killed, a tenth has a
+    link cut, or the endpoint list is delayed; the series ``all`` has all of these faults. No node has more
+    than one fault.
     """
     rng = random.Random(f"series {seed}")
     remaining = list(range(nodes))
@@ -229,7 +232,7 @@
 
 
 def faulted_links(faults: Sequence[Fault], nodes: int = 0) -> frozenset[tuple[int, str]]:
-    """Return the nodes' links that a schedule affects: only those have to lead through a proxy."""
+    """Return the links, as pairs of node and link, that a schedule affects; only they need a proxy."""
     links = {(fault.node, fault.link) for fault in faults if fault.kind in LINK_KINDS}
     if any(fault.kind == "split" for fault in faults):
         links |= {(node, MEMBERSHIP_LINK) for node in range(nodes)}
--- a/spindlerelay/testbed/fault_injection/link_direction.py
+++ b/spindlerelay/testbed/fault_injection/link_direction.py
@@ -1,8 +1,8 @@
-"""One direction of one proxied connection: which bytes pass, and when.
+"""Model of one direction of a proxied connection under faults: blocking, delay and bandwidth limit.
 
-Pure: no I/O and no clock. Several faults may act on a direction at once, each under its own number. The
-direction is blocked while any of them blocks it, delayed by the sum of the delays, and as narrow as the
-narrowest limit. Bytes keep their order, and only a reset loses any.
+Several faults, identified by numbers, can affect a direction at the same time. The direction is blocked while
+any fault blocks it, its delay is the sum of all delays, and its bandwidth is the lowest limit. Bytes keep
+their order, and only a reset loses bytes. The module has no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 
 
 class LinkCondition(NamedTuple):
-    """What one fault, or all faults together, do to one direction of a link.
+    """The effect of one fault, or of all faults combined, on one direction of a link.
 
-    ``drop_probability`` concerns datagrams alone.
+    ``drop_probability`` applies to datagrams only.
     """
 
     blocked: bool = False
@@ -28,7 +28,7 @@
 
 
 class ActiveConditions:
-    """The conditions of one direction of a link, shared by all its connections."""
+    """The active conditions of one direction of a link, shared by all connections of the link."""
 
     def __init__(self) -> None:
         self._by_fault: dict[int, LinkCondition] = {}
@@ -46,30 +46,31 @@
 
     def _combine(self) -> None:
         conditions = self._by_fault.values()
-        delivery_probability = math.prod(1.0 - each.drop_probability for each in conditions)
+        delivery_probability = math.prod(1.0 - condition.drop_probability for condition in conditions)
         self.combined = LinkCondition(
-            any(each.blocked for each in conditions),
-            sum(each.delay_ms for each in conditions),
-            min((each.bytes_per_s for each in conditions), default=math.inf),
+            any(condition.blocked for condition in conditions),
+            sum(condition.delay_ms for condition in conditions),
+            min((condition.bytes_per_s for condition in conditions), default=math.inf),
             1.0 - delivery_probability,
         )
 
 
 class ByteChannel:
-    """The bytes under way in one direction of one connection.
+    """The bytes in transit in one direction of one connection.
 
-    ``send`` and ``receive_due`` apply the conditions of the moment. Times are in ms of the caller's clock.
+    ``send`` and ``receive_due`` apply the conditions that are active at the call. Times are ms on the
+    caller's clock.
     """
 
     def __init__(self, conditions: ActiveConditions, now: float) -> None:
         self.conditions = conditions
         self.buffered_bytes = 0
-        self._pending: deque[tuple[float, bytes]] = deque()  # when each piece is due
+        self._pending: deque[tuple[float, bytes]] = deque()  # time due and bytes of every pending write
         self._credit_bytes = 0.0
         self._credited_at = now
 
     def send(self, now: float, data: bytes) -> bytes:
-        """Accept what one end wrote, and return what of it reaches the other end at once."""
+        """Accept bytes that one end wrote, and return the bytes that reach the other end immediately."""
         condition = self.conditions.combined
         if (
             not self._pending
@@ -83,7 +84,7 @@
         return b""
 
     def receive_due(self, now: float) -> bytes:
-        """Return the buffered bytes that reach the other end by now."""
+        """Return the buffered bytes that reach the other end by ``now``."""
         condition = self.conditions.combined
         delivered = bytearray()
         elapsed_ms = now - self._credited_at
--- a/spindlerelay/testbed/fault_injection/link_proxy.py
+++ b/spindlerelay/testbed/fault_injection/link_proxy.py
@@ -1,6 +1,6 @@
-"""The proxies of all links of a node pool, by node and link, and the faults put on them.
+"""Proxies for the links of a node pool, by node and link, and the active faults of the links.
 
-A link that no schedule affects has no proxy: its node is given the target's own address.
+A link that is not affected by the schedule has no proxy: its node uses the address of the target.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def _condition(fault: Fault) -> LinkCondition | None:
-    """Return what a fault does to what passes, None where it acts on connections as a whole."""
+    """Return the fault's condition on a link's data, or None if the fault affects whole connections."""
     match fault.kind:
         case "cut":
             return LinkCondition(blocked=True)
@@ -34,52 +34,54 @@
 
 
 class LinkProxies:
-    """The proxies of one pool. ``lay`` says which links lead through one."""
+    """The proxies of one pool. ``set_proxied_links`` selects the links that have a proxy."""
 
-    def __init__(self, loop: EventLoop, port: Callable[[], int]) -> None:
+    def __init__(self, loop: EventLoop, allocate_port: Callable[[], int]) -> None:
         self.loop = loop
         self.proxied_links: frozenset[tuple[str, str]] = frozenset()
         self.proxies: dict[tuple[str, str], StreamProxy | DatagramProxy] = {}
-        self._free_port = port
-        self._last_fault = 0
+        self._allocate_port = allocate_port
+        self._last_fault_number = 0
         self._end_by_fault: dict[int, Callable[[], None]] = {}
 
     def set_proxied_links(self, links: frozenset[tuple[str, str]]) -> None:
-        """Lead these links, as pairs of node and link, through proxies, for nodes started from now on."""
+        """Use proxies for these links, as pairs of node and link, of nodes that start from now on."""
         self.proxied_links = links
 
-    def address(self, node: str, link: str, target: Address, at: Address = LOOPBACK) -> Address:
-        """Return where a link leads: its proxy if it has one, else its target.
+    def address(self, node: str, link: str, target: Address, listen_address: Address = LOOPBACK) -> Address:
+        """Return the address of the link's proxy, or ``target`` if the link has no proxy.
 
-        ``at`` is the address where others send datagrams for the node.
+        ``listen_address`` is the address to which other nodes send datagrams for the node.
         """
         if (node, link) not in self.proxied_links:
             return target
         proxy = self.proxies.get((node, link))
         if proxy is None:
-            proxy = self.proxies[node, link] = self._open(node, link, target, at)
+            proxy = self.proxies[node, link] = self._open(node, link, target, listen_address)
         proxy.target = target
         return proxy.address
 
-    def _open(self, node: str, link: str, target: Address, at: Address) -> StreamProxy | DatagramProxy:
+    def _open(
+        self, node: str, link: str, target: Address, listen_address: Address
+    ) -> StreamProxy | DatagramProxy:
         if link in DATAGRAM_LINKS:
-            return DatagramProxy(self.loop, target, random.Random(f"{node} {link}"), at)
-        return StreamProxy(self.loop, ("127.0.0.1", self._free_port()), target, link == "balancers")
+            return DatagramProxy(self.loop, target, random.Random(f"{node} {link}"), listen_address)
+        return StreamProxy(self.loop, ("127.0.0.1", self._allocate_port()), target, link == "balancers")
 
     def tick(self, now: float) -> None:
-        """Deliver what is due by ``now``, in ms of the loop's clock."""
+        """Deliver the bytes that are due by ``now``, in ms on the event loop's clock."""
         for proxy in self.proxies.values():
             proxy.tick(now)
 
-    def begin_fault(self, name: str, fault: Fault) -> int:
-        """Put a fault on a node's link and return the number by which it is ended.
+    def begin_fault(self, node: str, fault: Fault) -> int:
+        """Begin a fault on a node's link; return the number to pass to ``end_fault``.
 
         Raises:
-            KeyError: where the link has no proxy.
+            KeyError: If the link has no proxy.
         """
-        proxy = self.proxies[name, fault.link]
-        self._last_fault += 1
-        number = self._last_fault
+        proxy = self.proxies[node, fault.link]
+        self._last_fault_number += 1
+        number = self._last_fault_number
         if condition := _condition(fault):
             affected = self._affected_directions(proxy, fault.direction)
             for conditions in affected:
@@ -113,22 +115,22 @@
                 return proxy.close_half_open
         return lambda: None
 
-    def reset_pending(self, name: str, link: str) -> bool:
-        """Return whether a connection of the link is still to be reset."""
-        proxy = self.proxies.get((name, link))
+    def reset_pending(self, node: str, link: str) -> bool:
+        """Return whether a reset is pending on a connection of the link."""
+        proxy = self.proxies.get((node, link))
         return isinstance(proxy, StreamProxy) and any(
             connection.bytes_until_reset > 0 for connection in proxy.connections
         )
 
     def refused_at(self) -> list[float]:
-        """Return when connections came to links that refused them, in ms of the loop's clock."""
+        """Return the arrival times of refused connections, in ms on the event loop's clock."""
         streams = [proxy for proxy in self.proxies.values() if isinstance(proxy, StreamProxy)]
         return [at for proxy in streams for at in proxy.refused_at]
 
     def partition(self, is_source_denied: Callable[[str, int], bool] | None, nodes: list[str]) -> None:
-        """Drop the membership datagrams to these nodes from the addresses that ``sides`` selects.
+        """Drop membership datagrams to these nodes from source addresses that ``is_source_denied`` selects.
 
-        None ends it.
+        None ends the partition.
         """
         for name in nodes:
             proxy = self.proxies.get((name, MEMBERSHIP_LINK))
@@ -136,11 +138,11 @@
                 proxy.is_source_denied = is_source_denied
 
     def end_fault(self, number: int) -> None:
-        """End the fault with this number; one that has ended is ignored."""
+        """End the fault with this number; do nothing if it has ended already."""
         if end := self._end_by_fault.pop(number, None):
             end()
 
     def close(self) -> None:
-        """Close every proxy with its connections."""
+        """Close all proxies and their connections."""
         for proxy in self.proxies.values():
             proxy.close()
--- a/spindlerelay/testbed/fault_injection/stream_proxy.py
+++ b/spindlerelay/testbed/fault_injection/stream_proxy.py
@@ -1,7 +1,7 @@
-"""A proxy for the stream connections of one link of a node.
+"""Proxy for the stream connections of one link of a node.
 
-It accepts each connection, dials the target, and carries the bytes through two ``ByteChannel``. It owns the
-listener and both sockets of every connection.
+For every accepted connection, the proxy dials the target and forwards the bytes of both directions through a
+``ByteChannel`` per direction. The proxy owns the listener and both sockets of every connection.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from spindlerelay.transport.system import Socket
 
 Address = tuple[str, int]
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER of 0 s: a close resets
-NEVER = -1
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0 s, so that close() resets
+NO_RESET = -1
 
 
 def _reset(connection: Connection) -> None:
-    """Close a connection so that its peer sees a reset, and drop what it still buffers."""
+    """Close a connection so that its peer sees a reset, and drop its buffered output."""
     if connection.open:
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         connection.close()
@@ -36,28 +36,28 @@
 
 
 class ProxiedConnection:
-    """One connection through a proxy: the socket that it accepted and the one that it dialled."""
+    """One connection through a proxy, with its accepted and its dialled socket."""
 
     def __init__(self, proxy: StreamProxy, sock: Socket) -> None:
         now = proxy.loop.now()
-        self.bytes_until_reset = NEVER
+        self.bytes_until_reset = NO_RESET
         self._proxy = proxy
         self._to_target = ByteChannel(proxy.conditions_to_target, now)
         self._from_target = ByteChannel(proxy.conditions_from_target, now)
-        self._half_open: End | None = None  # the end that does not know that the other one is closed
+        self._half_open: End | None = None  # the end that has not been notified that the other end is closed
         self._accepted = Connection(proxy.loop, sock, self._forward, self._accepted_closed)
         self._dialled = connect(
             proxy.loop, proxy.target, self._forward_reply, self._dialled_closed, lambda: None
         )
 
     def _forward(self, data: bytes) -> None:
-        self._pass(self._to_target, self._dialled, data)
+        self._forward_through(self._to_target, self._dialled, data)
 
     def _forward_reply(self, data: bytes) -> None:
-        self._pass(self._from_target, self._accepted, data)
+        self._forward_through(self._from_target, self._accepted, data)
 
-    def _pass(self, channel: ByteChannel, receiver: Connection, data: bytes) -> None:
-        if self._half_open is not None:  # the network loses what is written to a closed end
+    def _forward_through(self, channel: ByteChannel, receiver: Connection, data: bytes) -> None:
+        if self._half_open is not None:  # the network loses bytes that are written to a closed end
             return
         self._deliver(receiver, channel.send(self._proxy.loop.now(), data))
 
@@ -72,29 +72,29 @@
             self.reset()
 
     def tick(self, now: float) -> None:
-        """Deliver what is due by ``now``."""
+        """Deliver the bytes that are due by ``now``."""
         for channel, receiver in (
             (self._to_target, self._dialled),
             (self._from_target, self._accepted),
         ):
             if channel.buffered_bytes:
                 self._deliver(receiver, channel.receive_due(now))
-        self._close_if_over()
+        self._close_if_finished()
 
     def reset(self) -> None:
-        """Reset both ends at once."""
+        """Reset both ends immediately."""
         self._half_open = None
         _reset(self._accepted)
         _reset(self._dialled)
 
     def half_open(self, remaining: End) -> None:
-        """Close the other end without a notice to the remaining one."""
+        """Close the end opposite to ``remaining`` without notifying ``remaining``."""
         self._half_open = remaining
         self._to_target.receive_due(float("inf"))
         (self._dialled if remaining is End.ACCEPTED else self._accepted).close()
 
     def close_half_open(self) -> None:
-        """Let the remaining end learn that the other one is closed."""
+        """Notify the remaining end of a half-open connection that the other end is closed."""
         if self._half_open is not None:
             self.reset()
 
@@ -104,15 +104,15 @@
         self._dialled.close()
 
     def _accepted_closed(self, opened: bool) -> None:
-        self._close_if_over()
+        self._close_if_finished()
 
     def _dialled_closed(self, opened: bool) -> None:
         if not opened and self._half_open is None:
             _reset(self._accepted)  # the target refused the connection
-        self._close_if_over()
+        self._close_if_finished()
 
-    def _close_if_over(self) -> None:
-        """Close the other end of a closed one, once all that the closed one wrote is delivered."""
+    def _close_if_finished(self) -> None:
+        """After one end has closed, close the other end once all bytes of the closed end are delivered."""
         if self._half_open is None:
             self._propagate_close(self._accepted, self._to_target, self._dialled)
             self._propagate_close(self._dialled, self._from_target, self._accepted)
@@ -128,21 +128,21 @@
 
 
 class StreamProxy:
-    """A listening address whose connections lead to ``target``.
+    """A listening address whose connections are forwarded to ``target``.
 
-    ``inward`` is True where the node is the target, False where the node dials.
+    ``inward`` is True if the node is the target, and False if the node dials the proxy.
     """
 
     def __init__(self, loop: EventLoop, address: Address, target: Address, inward: bool) -> None:
         self.loop = loop
         self.target = target
         self.inward = inward
-        self.inward_conditions = ActiveConditions()  # of bytes to the node
-        self.outward_conditions = ActiveConditions()
+        self.inward_conditions = ActiveConditions()  # conditions of bytes to the node
+        self.outward_conditions = ActiveConditions()  # conditions of bytes from the node
         self.conditions_to_target = self.inward_conditions if inward else self.outward_conditions
         self.conditions_from_target = self.outward_conditions if inward else self.inward_conditions
         self.connections: dict[ProxiedConnection, None] = {}
-        self.refused_at: list[float] = []  # when connections came while they were refused
+        self.refused_at: list[float] = []  # arrival times of refused connections
         self._refusals_active = 0
         self._listener = Listener(loop, address, self._accept)
         self.address: Address = self._listener.sock.getsockname()
@@ -156,35 +156,35 @@
         self.connections[ProxiedConnection(self, sock)] = None
 
     def tick(self, now: float) -> None:
-        """Deliver what is due by ``now``."""
+        """Deliver the bytes that are due by ``now``."""
         for connection in list(self.connections):
             connection.tick(now)
 
     def reset(self, after_bytes: float) -> None:
-        """Reset every connection once it has carried so many more bytes; below 1 at once."""
+        """Reset every connection after ``after_bytes`` more bytes, or immediately if that is below 1."""
         for connection in list(self.connections):
             if after_bytes >= 1.0:
                 connection.bytes_until_reset = int(after_bytes)
             else:
                 connection.reset()
 
-    def refuse(self, on: bool) -> None:
-        """Begin or end one fault that resets all connections, present and new."""
-        self._refusals_active += 1 if on else -1
-        if on:
+    def refuse(self, active: bool) -> None:
+        """Begin or end one fault that resets all existing and new connections."""
+        self._refusals_active += 1 if active else -1
+        if active:
             self.reset(0.0)
 
     def half_open(self, direction: str) -> None:
-        """Close one end of each connection without notice to the other.
+        """Close one end of every connection without notifying the other end.
 
-        The node's ends remain for the direction ``out``, else the others'.
+        For direction ``out``, the ends of the node stay open; for all other directions, the opposite ends.
         """
         remaining = End.ACCEPTED if (direction != "out") == self.inward else End.DIALLED
         for connection in list(self.connections):
             connection.half_open(remaining)
 
     def close_half_open(self) -> None:
-        """Let the ends that remain learn that the others are closed."""
+        """Notify the remaining ends of half-open connections that the other ends are closed."""
         for connection in list(self.connections):
             connection.close_half_open()
 
--- a/tests/test_fault_injection.py
+++ b/tests/test_fault_injection.py
@@ -48,7 +48,9 @@
     assert error_of(cut + "for = 3").startswith("fault 1: for: no such key; known: at_ms,")
     assert error_of(cut + "at_ms = true") == "fault 1: at_ms: True stands there; expected a number"
     assert error_of(cut + 'node = "x"') == "fault 1: node: 'x' stands there; expected a name like n3"
-    assert error_of('[[fault]]\nkind = "slow"') == "fault 1: for_ms: 0 stands there; a slow lasts longer"
+    assert error_of('[[fault]]\nkind = "slow"') == (
+        "fault 1: for_ms: 0 stands there; expected a number above 0 for kind slow"
+    )
     assert error_of("fault = 3").startswith("fault: expected tables")
     assert error_of("[[").startswith("not TOML: ")
     path.write_text(cut + 'at_ms = 900\nnode = "n2"\n[[fault]]\nkind = "kill"\nsize = 100')
