--- a/spindlerelay/testbed/baseline_policies/fixed_queue.py
+++ b/spindlerelay/testbed/baseline_policies/fixed_queue.py
@@ -1,7 +1,8 @@
-"""An admission policy with a plain limit, first come first served: it obeys the protocol, and no more.
+"""Admission policy with a FIFO queue and a concurrency limit, and only the required protocol features.
 
-The events and actions are those of ``admission.controller``. ``LossyPolicy`` wraps any policy and rejects a
-fraction of the requests for good: a loss of a known size, by which the measurement itself is tested.
+The policy handles the same events and returns the same actions as ``admission.controller``. ``LossyPolicy``
+wraps any policy and rejects a fraction of the requests without retry: a loss of known size, which tests the
+measurement itself.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from spindlerelay.testbed.baseline_policies.limits import ConcurrencyLimit
 
 TICK_MS = 50.0
-DEADLINE_MARGIN_MS = 10.0  # before a deadline, for a queued request's rejection
+DEADLINE_MARGIN_MS = 10.0  # queued requests are rejected this long before their deadline
 MIN_CALL_MS = 1.0
 
 
@@ -32,25 +33,26 @@
 
 
 class FixedQueuePolicy:
-    """One node's decisions by a limit."""
+    """Admission policy of one node: a FIFO queue in front of a concurrency limit."""
 
     def __init__(self, settings: api.Settings, limit: ConcurrencyLimit) -> None:
         self._settings = settings
         self._limit = limit
         self._queue: deque[_RequestState] = deque()
         self.requests: dict[int, _RequestState] = {}
-        self._cached_until: dict[int, float] = {}  # by request id, for its idempotency key
+        # End of the idempotency window, by id of the original request.
+        self._cached_until: dict[int, float] = {}
         self.running_count = 0
         self._last_arrival_admitted = float("inf")
-        self._next_timer = 0.0
+        self._next_timer_at = 0.0
         self._started = False
 
     def status(self) -> api.ControllerStatus:
         """Return the utilization of the queue."""
-        return api.ControllerStatus(min(1.0, len(self._queue) / max(1, self._limit.queue_places())))
+        return api.ControllerStatus(min(1.0, len(self._queue) / max(1, self._limit.queue_capacity())))
 
     def step(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
-        """Take events and return the actions to carry out."""
+        """Process events and return the actions to carry out."""
         actions: list[api.Action] = []
         if not self._started:
             self._started = True
@@ -59,9 +61,11 @@
             self._handle(now_ms, event, actions)
         self._reject_expired(now_ms, actions)
         self._start_queued(now_ms, actions)
-        if now_ms >= self._next_timer:
-            self._cached_until = {rid: until for rid, until in self._cached_until.items() if until > now_ms}
-            self._next_timer = now_ms + TICK_MS
+        if now_ms >= self._next_timer_at:
+            self._cached_until = {
+                request_id: until for request_id, until in self._cached_until.items() if until > now_ms
+            }
+            self._next_timer_at = now_ms + TICK_MS
             actions.append(api.SetTimer(TICK_MS))
         return actions
 
@@ -110,27 +114,27 @@
                 actions.append(api.Fail(request.id))
 
     def _receive(self, now: float, event: api.RequestReceived, actions: list[api.Action]) -> None:
-        spec = self._settings.classes[event.class_index]
-        request = _RequestState(event, spec.deadline_ms, now)
+        class_settings = self._settings.classes[event.class_index]
+        request = _RequestState(event, class_settings.deadline_ms, now)
         self.requests[event.id] = request
-        keyed = spec.idempotency is api.Idempotency.KEYED
+        keyed = class_settings.idempotency is api.Idempotency.KEYED
         original_known = event.original_id in self.requests or event.original_id in self._cached_until
         if event.original_id and original_known:
             actions.append(api.RespondFromCache(request.id))
             return
-        full = len(self._queue) >= self._limit.queue_places()
+        full = len(self._queue) >= self._limit.queue_capacity()
         late = request.deadline <= now or request.arrived_at > self._last_arrival_admitted
         if full or late or (keyed and event.original_id):
             self._reject(request, actions)
             return
         if keyed:
-            cached_until = request.arrived_at + spec.idempotency_window_ms + TICK_MS
+            cached_until = request.arrived_at + class_settings.idempotency_window_ms + TICK_MS
             self._cached_until[request.id] = cached_until
             actions.append(api.CacheResult(request.id, cached_until - now))
         self._queue.append(request)
 
     def _reject_expired(self, now: float, actions: list[api.Action]) -> None:
-        """Reject queued requests at their deadline."""
+        """Reject queued requests that are within ``DEADLINE_MARGIN_MS`` of their deadline."""
         expired = [request for request in self._queue if request.deadline - DEADLINE_MARGIN_MS <= now]
         for request in expired:
             self._queue.remove(request)
@@ -158,7 +162,7 @@
 
 
 class LossyPolicy:
-    """Any policy, but for a fraction of the requests that it rejects for good, drawn from the seed."""
+    """Wrapper of a policy that rejects a random fraction of the requests, with the notice not to retry."""
 
     def __init__(self, policy: AdmissionPolicy, fraction: float, seed: int) -> None:
         self._policy = policy
@@ -170,17 +174,17 @@
         return self._policy.status()
 
     def step(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
-        """Let the wrapped policy take the events but for the requests that are lost."""
-        lost = list[api.RequestReceived]()
-        passed = list[api.Event]()
+        """Reject a random fraction of the new requests, and pass all other events to the wrapped policy."""
+        dropped = list[api.RequestReceived]()
+        forwarded = list[api.Event]()
         for event in events:
             if (
                 isinstance(event, api.RequestReceived)
                 and not event.original_id
                 and self._random.random() < self._fraction
             ):
-                lost.append(event)
+                dropped.append(event)
             else:
-                passed.append(event)
-        actions = self._policy.step(now_ms, passed)
-        return actions + [api.Reject(request.id, 0.0, True) for request in lost]
+                forwarded.append(event)
+        actions = self._policy.step(now_ms, forwarded)
+        return actions + [api.Reject(request.id, 0.0, True) for request in dropped]
