--- a/spindlerelay/testbed/model_checking/lease_search.py
+++ b/spindlerelay/testbed/model_checking/lease_search.py
@@ -56,7 +56,7 @@
             depth += 1
             reached = list[State]()
             for state in frontier:
-                for description, successor in self._transitions.after(state):
+                for description, successor in self._transitions.successors(state):
                     if successor in predecessors:
                         continue
                     predecessors[successor] = (state, description)
--- a/spindlerelay/testbed/model_checking/lease_transitions.py
+++ b/spindlerelay/testbed/model_checking/lease_transitions.py
@@ -74,8 +74,8 @@
             decisions=self.values.decisions(()),
         )
 
-    def after(self, state: State) -> Iterator[Transition]:
-        """Yield all transitions from a state."""
+    def successors(self, state: State) -> Iterator[Transition]:
+        """Yield the description and the successor state of every transition from a state."""
         yield from self._proposer_transitions(state)
         yield from self._request_transitions(state)
         yield from self._disk_loss_transitions(state)
