--- a/spindlerelay/testbed/cluster/endpoint_list.py
+++ b/spindlerelay/testbed/cluster/endpoint_list.py
@@ -89,9 +89,8 @@
         statuses = self._catalogue.instance_states()
         for service in self._catalogue.services.values():
             status = statuses[service.id]
-            weight = service.weights[
-                status == "warning"
-            ]  # most clients ignore critical instances and their weights
+            # Most clients ignore critical instances and their weights.
+            weight = service.weights[status == "warning"]
             status = "critical" if status == "maintenance" else status
             self.endpoints.append(ListedEndpoint(service.id, status, weight))
             if previous_weights.get(service.id) != weight:
